--- a/benchmark/ablation.py
+++ b/benchmark/ablation.py
@@ -14,7 +14,7 @@
 from hoisthook.admission import admitter
 from hoisthook.admission import priority_gate
 from hoisthook.admission.server_speed import ServerSpeed
-from hoisthook.admission.slow_moments import SlowMoments
+from hoisthook.admission.slow_periods import SlowPeriods
 from hoisthook.admission.work_times import WorkTimes
 from hoisthook.experiment.modelled_system import ModelledSystem
 from hoisthook.experiment.pattern_file import load_pattern
@@ -36,9 +36,9 @@
     "long slow moments not waited out": (
         ServerSpeed,
         "is_worth_holding",
-        lambda speed, _work, _now: speed.moments.is_slow,
+        lambda speed, _work, _now: speed.slow_periods.is_slow,
     ),
-    "cold start told from slow moments": (SlowMoments, "base", property(lambda _: 1.0)),
+    "cold start told from slow moments": (SlowPeriods, "base", property(lambda _: 1.0)),
     "pace learned": (ServerSpeed, "pace", lambda *_: 1.0),
     "overdue work": (priority_gate, "MIN_STALLED", NEVER),
     "room for the spread of work": (WorkTimes, "spread", lambda *_: 0.0),
--- a/benchmark/crashing.py
+++ b/benchmark/crashing.py
@@ -18,7 +18,7 @@
 from typing import TYPE_CHECKING
 from unittest import mock
 
-from hoisthook.mesh import crash_news
+from hoisthook.mesh import crash_notifier
 from hoisthook.retry import crash_evidence
 from standin.mesh_system import MeshSystem
 from standin.published_configuration import RouteOptions
@@ -156,10 +156,10 @@
     sys.stdout.write("| way | seed | ended | begun after the third | later than 3 s |")
     sys.stdout.write(" others served | not |\n|---|---|---|---|---|---|---|\n")
     for way in WAYS:
-        tell = crash_news.CrashNews.tell if way.is_told else _say_nothing
+        tell = crash_notifier.CrashNotifier.tell if way.is_told else _say_nothing
         with (
             mock.patch.object(crash_evidence, "ENDS_NEEDED", way.ends_needed),
-            mock.patch.object(crash_news.CrashNews, "tell", tell),
+            mock.patch.object(crash_notifier.CrashNotifier, "tell", tell),
         ):
             for seed in seeds:
                 row = asyncio.run(Trial(seed).run())
@@ -167,7 +167,7 @@
                 sys.stdout.flush()
 
 
-def _say_nothing(_: crash_news.CrashNews) -> None:
+def _say_nothing(_: crash_notifier.CrashNotifier) -> None:
     return
 
 
--- a/benchmark/spreading.py
+++ b/benchmark/spreading.py
@@ -61,9 +61,9 @@
     difference = encode_message(SyncReply(configuration=history.since(1)))
 
     def take_in() -> None:
-        news = decode_message(difference, SyncReply).configuration
-        assert news is not None
-        parts = news.applied_to(before.parts)
+        delta = decode_message(difference, SyncReply).configuration
+        assert delta is not None
+        parts = delta.applied_to(before.parts)
         assert parts is not None
         read.assemble(parts)
 
--- a/src/hoisthook/adapter/operator_service.py
+++ b/src/hoisthook/adapter/operator_service.py
@@ -23,8 +23,8 @@
 
     from grpclib.server import Stream
 
-    from hoisthook.configuration.configuration_desk import ConfigurationDesk
     from hoisthook.configuration.configuration_state import ConfigurationState
+    from hoisthook.configuration.configuration_writer import ConfigurationWriter
     from hoisthook.membership.member_table import MemberTable
 
 
@@ -33,7 +33,7 @@
 
     Parameters
     ----------
-    desk : ConfigurationDesk
+    writer : ConfigurationWriter
         Takes changes.
     state : ConfigurationState
         Read for lists.
@@ -45,12 +45,12 @@
 
     def __init__(
         self,
-        desk: ConfigurationDesk,
+        writer: ConfigurationWriter,
         state: ConfigurationState,
         table: MemberTable,
         status: Callable[[], pb.NodeStatusReply],
     ) -> None:
-        self._desk = desk
+        self._configuration_writer = writer
         self._state = state
         self._table = table
         self._status = status
@@ -176,7 +176,7 @@
 
     async def _submit(self, header: pb.ChangeHeader, change: Change) -> pb.ChangeReply:
         record = ChangeRecord(header.operation_id, header.base_revision, change, header.author)
-        done = await self._desk.submit(record)
+        done = await self._configuration_writer.submit(record)
         if isinstance(done, Err):
             failure = done.err_value
             return pb.ChangeReply(
--- a/src/hoisthook/admission/admission_policy.py
+++ b/src/hoisthook/admission/admission_policy.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ruling:
+class AdmissionDecision:
     """A verdict and when to ask again.
 
     Attributes
@@ -51,7 +51,7 @@
     retry_after: float = 0.0
 
 
-ADMITTED = Ruling(Verdict.ADMIT)
+ADMITTED = AdmissionDecision(Verdict.ADMIT)
 
 
 class AdmissionPolicy:
@@ -75,17 +75,17 @@
         self._speed = speed
         self._clock = clock
 
-    def start_now(self, demand: Demand) -> Ruling:
+    def start_now(self, demand: Demand) -> AdmissionDecision:
         """Rule on a request that may only start at once."""
         if not self._gate.has_room_for(demand):
             self._note_turned_away(demand)
-            return Ruling(self._why_no_room(), self.time_to_start(demand))
+            return AdmissionDecision(self._why_no_room(), self.time_to_start(demand))
         if self._gate.is_stalled or not self._gate.ends_in_time(demand):
-            spell = self._speed.moments.spell_seconds
-            return Ruling(Verdict.SLOW, max(MIN_RETRY_AFTER_SECONDS, spell))
+            spell = self._speed.slow_periods.spell_seconds
+            return AdmissionDecision(Verdict.SLOW, max(MIN_RETRY_AFTER_SECONDS, spell))
         return ADMITTED
 
-    def may_wait(self, demand: Demand) -> Ruling:
+    def may_wait(self, demand: Demand) -> AdmissionDecision:
         """Rule on a request that may wait for a slot.
 
         It waits if it is likely to start before `waits_until`; else its caller is better served
@@ -94,7 +94,7 @@
         start = self._gate.forecast_start(demand)
         if start > self.waits_until(demand):
             self._note_turned_away(demand)
-            return Ruling(self._why_no_room(), self.time_to_start(demand))
+            return AdmissionDecision(self._why_no_room(), self.time_to_start(demand))
         return ADMITTED
 
     def waits_until(self, demand: Demand) -> float:
@@ -112,7 +112,7 @@
             return until
         until = max(until, now + self._gate.turnover_seconds)
         if self._speed.is_worth_holding(demand.work, now):
-            until = max(until, now + SPELLS_WAITED * self._speed.moments.spell_seconds)
+            until = max(until, now + SPELLS_WAITED * self._speed.slow_periods.spell_seconds)
         return min(until, demand.deadline - seconds)
 
     def time_to_start(self, demand: Demand) -> float:
@@ -135,9 +135,9 @@
         if not self._gate.has_room:
             return False
         now = self._clock.now()
-        moments = self._speed.moments
+        slow_periods = self._speed.slow_periods
         if now + self._speed.seconds_slow(demand.work, now) <= demand.due:
             return False
-        if moments.is_slow:
-            return moments.chance_of_change(now) > MAX_STALE_SLOW_CHANCE
-        return moments.chance_of_change(now) > MAX_BLIND_CHANCE
+        if slow_periods.is_slow:
+            return slow_periods.chance_of_change(now) > MAX_STALE_SLOW_CHANCE
+        return slow_periods.chance_of_change(now) > MAX_BLIND_CHANCE
--- a/src/hoisthook/admission/admitter.py
+++ b/src/hoisthook/admission/admitter.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from hoisthook.admission.admission_policy import Ruling
+    from hoisthook.admission.admission_policy import AdmissionDecision
     from hoisthook.admission.priority_gate import Slot
     from hoisthook.admission.server_speed import ServerSpeed
     from hoisthook.identity import RouteName
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stay:
+class AdmittedRequest:
     """A request that runs at the backend server.
 
     Attributes
@@ -144,7 +144,7 @@
         await self._reader.read()
         self.gate.admit()
 
-    def rule(self, demand: Demand, *, may_wait: bool) -> Ruling:
+    def rule(self, demand: Demand, *, may_wait: bool) -> AdmissionDecision:
         """Rule on a request."""
         return self.policy.may_wait(demand) if may_wait else self.policy.start_now(demand)
 
@@ -155,7 +155,7 @@
         *,
         may_wait: bool,
         waiting: Callable[[float], None] | None = None,
-    ) -> Stay | None:
+    ) -> AdmittedRequest | None:
         """Take a slot for a request that was not turned away; None if it got none.
 
         Parameters
@@ -177,27 +177,29 @@
         slot = await self.gate.enter(demand, until)
         if slot is None:
             return None
-        return Stay(slot, route, demand.work, self.speed.slowdown, self.gate.running)
+        return AdmittedRequest(slot, route, demand.work, self.speed.slowdown, self.gate.running)
 
-    def leave(self, stay: Stay) -> None:
+    def leave(self, admitted_request: AdmittedRequest) -> None:
         """Give a request's slot back."""
-        self.gate.leave(stay.slot)
+        self.gate.leave(admitted_request.slot)
 
-    def sent(self, stay: Stay) -> None:
+    def sent(self, admitted_request: AdmittedRequest) -> None:
         """Note that a request goes out to the backend server."""
-        self.gate.sent(stay.slot)
+        self.gate.sent(admitted_request.slot)
 
-    def worked(self, stay: Stay, seconds: float) -> None:
+    def worked(self, admitted_request: AdmittedRequest, seconds: float) -> None:
         """Learn from a request that ran to its end."""
-        self.gave_up(stay, seconds)
-        if self._work.is_known(stay.route):
-            ratio = seconds / (stay.work * max(1.0, stay.slowdown))
-            self._usable.finished(self._slots, (stay.running, self.gate.running), ratio)
-        self._work.learn(stay.route, seconds, stay.slowdown)
+        self.gave_up(admitted_request, seconds)
+        if self._work.is_known(admitted_request.route):
+            ratio = seconds / (admitted_request.work * max(1.0, admitted_request.slowdown))
+            self._usable.finished(self._slots, (admitted_request.running, self.gate.running), ratio)
+        self._work.learn(admitted_request.route, seconds, admitted_request.slowdown)
 
-    def gave_up(self, stay: Stay, seconds: float) -> None:
+    def gave_up(self, admitted_request: AdmittedRequest, seconds: float) -> None:
         """Learn from a request that was given up while it ran."""
-        self.speed.finished(stay.work, seconds, stay.slowdown, self._clock.now())
+        self.speed.finished(
+            admitted_request.work, seconds, admitted_request.slowdown, self._clock.now()
+        )
 
     def has_slots(self, slots: int) -> None:
         """Take in how many requests the backend server can run at once; 0 if not known."""
@@ -226,4 +228,4 @@
         now = self._clock.now()
         if self.gate.cold.is_read_worthwhile(now):
             return True
-        return self.gate.is_holding and self.speed.moments.age(now) >= HOLDING_READ_SECONDS
+        return self.gate.is_holding and self.speed.slow_periods.age(now) >= HOLDING_READ_SECONDS
--- a/src/hoisthook/admission/cold_limit.py
+++ b/src/hoisthook/admission/cold_limit.py
@@ -81,9 +81,9 @@
         """
         self._seen_at = asked_at
         self._cold_until = now + remaining if remaining > 0 else -math.inf
-        is_whole = 0.0 < remaining <= self._cold_seconds
+        is_complete = 0.0 < remaining <= self._cold_seconds
         # At the earliest: what was told may have been true when it was asked.
-        self._cold_since = asked_at + remaining - self._cold_seconds if is_whole else -math.inf
+        self._cold_since = asked_at + remaining - self._cold_seconds if is_complete else -math.inf
 
     def announced(self, remaining: float, now: float) -> None:
         """Take in what an announcement says; one that arrives late may be out of date.
--- a/src/hoisthook/admission/running_requests.py
+++ b/src/hoisthook/admission/running_requests.py
@@ -6,13 +6,13 @@
 from dataclasses import field
 from typing import TYPE_CHECKING
 
-from hoisthook.retry.idle_share import IdleShare
+from hoisthook.retry.idle_tracker import IdleTracker
 
 if TYPE_CHECKING:
     from hoisthook.identity import RequestId
     from hoisthook.identity import RouteName
     from hoisthook.port.clock import Clock
-    from hoisthook.retry.idle_share import IdleSighting
+    from hoisthook.retry.idle_tracker import IdleObservation
 
 # Requests of a route that are judged by; beyond them the counts are halved, so that a change in
 # who calls what is learned within some 200 calls.
@@ -89,7 +89,7 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._idle = IdleShare(clock.now())
+        self._idle = IdleTracker(clock.now())
         self._running: set[RunningRequest] = set()
         self._seen_by_route: dict[RouteName, _Seen] = {}
 
@@ -110,16 +110,16 @@
         if running == 0:
             self._idle.emptied(self._clock.now())
 
-    def sighting(self) -> IdleSighting:
+    def idle_observation(self) -> IdleObservation:
         """Return whether anything runs at this moment, and how often nothing does."""
-        return self._idle.sighting(self._clock.now())
+        return self._idle.idle_observation(self._clock.now())
 
     def arrived(self, route: RouteName) -> None:
         """Learn from what runs at the moment at which a request of a route arrives here."""
         running = {request.route for request in self._running}
         self._seen_by_route.setdefault(route, _Seen()).note(running)
 
-    def maker_of(self, route: RouteName) -> RunningRequest | None:
+    def parent_of(self, route: RouteName) -> RunningRequest | None:
         """Return the most urgent request that may have made a call of a route, or None."""
         return min(self._makers(route), key=lambda request: request.priority, default=None)
 
@@ -136,9 +136,9 @@
     def _makers(self, route: RouteName) -> list[RunningRequest]:
         return [request for request in self._running if self._makes(request.route, route)]
 
-    def _makes(self, maker: RouteName, called: RouteName) -> bool:
+    def _makes(self, parent: RouteName, called: RouteName) -> bool:
         seen = self._seen_by_route.get(called)
-        if seen is None or seen.arrivals < MIN_SEEN or seen.share(maker) < MADE_SHARE:
+        if seen is None or seen.arrivals < MIN_SEEN or seen.share(parent) < MADE_SHARE:
             return False
         others = (other for route, other in self._seen_by_route.items() if route != called)
-        return any(other.share(maker) <= MAX_USUAL_SHARE for other in others)
+        return any(other.share(parent) <= MAX_USUAL_SHARE for other in others)
--- a/src/hoisthook/admission/server_speed.py
+++ b/src/hoisthook/admission/server_speed.py
@@ -4,7 +4,7 @@
 
 import math
 
-from hoisthook.admission.slow_moments import SlowMoments
+from hoisthook.admission.slow_periods import SlowPeriods
 
 # Weight of one finished request. A server that has just started works at half its speed for a few
 # seconds; with a dozen requests running this is learned within one round of them.
@@ -28,20 +28,20 @@
     """
 
     def __init__(self) -> None:
-        self.moments = SlowMoments()
+        self.slow_periods = SlowPeriods()
         self._pace = 1.0
         self._paced_at = 0.0
 
     def reset(self) -> None:
         """Forget everything: another backend server is there now."""
-        self.moments = SlowMoments()
+        self.slow_periods = SlowPeriods()
         self._pace = 1.0
         self._paced_at = 0.0
 
     @property
     def slowdown(self) -> float:
         """Return the factor that the last report told of."""
-        return self.moments.slowdown
+        return self.slow_periods.slowdown
 
     def pace(self, now: float) -> float:
         """Return how many times as long work takes as usual, reports left aside."""
@@ -65,11 +65,11 @@
 
     def seconds_usual(self, work: float, now: float) -> float:
         """Return how long work takes that begins outside a slow moment."""
-        return work * self.pace(now) * max(1.0, self.moments.base)
+        return work * self.pace(now) * max(1.0, self.slow_periods.base)
 
     def seconds_slow(self, work: float, now: float) -> float:
         """Return how long work takes that begins in a slow moment."""
-        return self.seconds_usual(work, now) * self.moments.slow_factor
+        return self.seconds_usual(work, now) * self.slow_periods.slow_factor
 
     def is_worth_holding(self, work: float, now: float) -> bool:
         """Return whether work that waits for the end of this slow moment ends sooner.
@@ -78,7 +78,12 @@
         several requests, slots that stand idle in them only make the queue longer: 0.456 of the
         worth over five days of six-slot servers with each moment waited out, 0.472 so.
         """
-        moments = self.moments
-        if not moments.is_slow or now - moments.since > SPELLS_WAITED_FOR * moments.spell_seconds:
+        slow_periods = self.slow_periods
+        if (
+            not slow_periods.is_slow
+            or now - slow_periods.since > SPELLS_WAITED_FOR * slow_periods.spell_seconds
+        ):
             return False
-        return moments.spell_seconds < self.seconds_now(work, now) - self.seconds_usual(work, now)
+        return slow_periods.spell_seconds < self.seconds_now(work, now) - self.seconds_usual(
+            work, now
+        )
--- a/src/hoisthook/admission/slow_moments.py
+++ b/src/hoisthook/admission/slow_periods.py
@@ -26,7 +26,7 @@
 FACTOR_SMOOTHING = 0.1
 
 
-class SlowMoments:
+class SlowPeriods:
     """Rates at which a backend server turns slow and recovers.
 
     Work that begins in a slow moment keeps its pace to the end, so what counts is the
--- a/src/hoisthook/configuration/configuration_desk.py
+++ b/src/hoisthook/configuration/configuration_writer.py
@@ -46,7 +46,7 @@
     winner: int = 0
 
 
-class ConfigurationDesk:
+class ConfigurationWriter:
     """Appends a change and answers from the fold, never from the append alone.
 
     "Accepted" is said only when the record has been read back in the log's order
--- a/src/hoisthook/console/commands/experiment.py
+++ b/src/hoisthook/console/commands/experiment.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     import argparse
 
-    from hoisthook.experiment.load_pattern import Tally
+    from hoisthook.experiment.load_pattern import LoadResults
 
 DEFAULT_SEEDS = 3
 MILLIS = 1000.0
@@ -39,19 +39,19 @@
         sys.stdout.write("\t".join(HEADINGS) + "\n")
         for pattern in patterns:
             for seed in range(1, arguments.seeds + 1):
-                tally = ModelledSystem(pattern, seed).play()
-                sys.stdout.write(f"{pattern.name}\t{seed}\t{_row(tally)}\n")
+                results = ModelledSystem(pattern, seed).play()
+                sys.stdout.write(f"{pattern.name}\t{seed}\t{_row(results)}\n")
         return 0
 
 
-def _row(tally: Tally) -> str:
-    counts = (tally.in_time, tally.late, tally.refused, tally.failed, tally.reads)
-    times = (tally.quantile(0.5) * MILLIS, tally.quantile(0.99) * MILLIS)
+def _row(results: LoadResults) -> str:
+    counts = (results.in_time, results.late, results.refused, results.failed, results.reads)
+    times = (results.quantile(0.5) * MILLIS, results.quantile(0.99) * MILLIS)
     return "\t".join(
         [
-            str(tally.requests),
-            f"{tally.share:.3f}",
-            f"{tally.worst_share:.2f}",
+            str(results.requests),
+            f"{results.share:.3f}",
+            f"{results.worst_share:.2f}",
             *(str(count) for count in counts),
             *(f"{milliseconds:.0f}" for milliseconds in times),
         ]
--- a/src/hoisthook/experiment/load_pattern.py
+++ b/src/hoisthook/experiment/load_pattern.py
@@ -13,7 +13,7 @@
 from hoisthook.identity import ServiceName
 
 
-class Befall(Enum):
+class DisruptionKind(Enum):
     """What can befall modelled backend servers or callers."""
 
     BURST = "burst"
@@ -44,12 +44,12 @@
     """Nodes start anew and know nothing of before; until it ends they know a few others only."""
 
 
-class Trouble(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class Disruption(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """One disruption.
 
     Attributes
     ----------
-    kind : Befall
+    kind : DisruptionKind
         What.
     at, lasts : float
         Seconds from the start, and for how long.
@@ -61,7 +61,7 @@
         Whose; empty for all.
     """
 
-    kind: Befall
+    kind: DisruptionKind
     at: float
     lasts: float
     strength: float = 1.0
@@ -163,7 +163,7 @@
         Each backend server has a node beside it.
     routes : list of RouteTraits
         What is asked.
-    troubles : list of Trouble
+    troubles : list of Disruption
         What befalls it.
     """
 
@@ -171,11 +171,11 @@
     seconds: float
     services: list[ServiceTraits]
     routes: list[RouteTraits]
-    troubles: list[Trouble] = []
+    troubles: list[Disruption] = []
 
 
 @dataclass(slots=True)
-class Tally:
+class LoadResults:
     """What became of the requests of callers; calls within requests are not counted.
 
     Attributes
--- a/src/hoisthook/experiment/modelled_hop.py
+++ b/src/hoisthook/experiment/modelled_hop.py
@@ -9,7 +9,7 @@
 from hoisthook.background_tasks import BackgroundTasks
 from hoisthook.mesh.admitted_exchange import ADMISSION_SECONDS
 from hoisthook.mesh.admitted_exchange import SILENT_RETRY_SECONDS
-from hoisthook.mesh.outcome import Unheard
+from hoisthook.mesh.outcome import PendingOutcome
 from hoisthook.node.call import Refused
 from hoisthook.result_code import ResultCode
 
@@ -41,7 +41,7 @@
 
     async def run(
         self, view: PeerView, call: RoutedCall, admission: Admission
-    ) -> Outcome | Unheard:
+    ) -> Outcome | PendingOutcome:
         """Run the request there and learn from what comes back."""
         node = self._system.node_by_id[view.peer.node]
         if node.server.is_gone():
@@ -88,7 +88,7 @@
 
     async def _wait_in_vain(
         self, view: PeerView, call: RoutedCall, admission: Admission, node: ModelledNode
-    ) -> Refused | Unheard:
+    ) -> Refused | PendingOutcome:
         """Bear the silence of a node, which still sends on what is whole when it wakes."""
         held_back = call.held_back or view.may_be_silent(self._clock.now())
         sent = dataclasses.replace(call)
@@ -100,7 +100,7 @@
         late = asyncio.ensure_future(self._run_late(view, sent, admission, node))
         # What is withdrawn may be on its way all the same.
         self._probes.start(_until_done(late))
-        return Unheard(asyncio.ensure_future(_shielded(late)))
+        return PendingOutcome(asyncio.ensure_future(_shielded(late)))
 
     async def _run_late(
         self, view: PeerView, call: RoutedCall, admission: Admission, node: ModelledNode
@@ -112,7 +112,7 @@
 
     async def _connect_in_vain(self, view: PeerView) -> Refused:
         await asyncio.sleep(CONNECT_SECONDS)
-        self._system.tally.unanswered += 1
+        self._system.results.unanswered += 1
         return Refused(ResultCode.UNREACHABLE, view.unreachable(self._clock.now()))
 
 
--- a/src/hoisthook/experiment/modelled_node.py
+++ b/src/hoisthook/experiment/modelled_node.py
@@ -11,14 +11,14 @@
 from hoisthook.admission.running_requests import RunningRequest
 from hoisthook.admission.running_requests import RunningRequests
 from hoisthook.admission.server_speed import ServerSpeed
-from hoisthook.beside.repeat_limit import RepeatLimit
 from hoisthook.experiment.modelled_hop import ModelledHop
 from hoisthook.experiment.modelled_server import Ended
 from hoisthook.experiment.modelled_server import ModelledServer
+from hoisthook.local_backend.repeat_limit import RepeatLimit
 from hoisthook.measure.measure_budget import MeasureBudget
-from hoisthook.mesh.beside_load import BesideLoad
 from hoisthook.mesh.hop_header import Admission
-from hoisthook.mesh.outcome import WholeAnswer
+from hoisthook.mesh.node_load import NodeLoad
+from hoisthook.mesh.outcome import CompleteAnswer
 from hoisthook.mesh.peer_choice import ChoiceSettings
 from hoisthook.mesh.peer_choice import PeerChoice
 from hoisthook.mesh.peer_directory import PeerDirectory
@@ -81,7 +81,7 @@
     async def _read(self) -> None:
         self.reads += 1
         await asyncio.sleep(READ_SECONDS)
-        self._speed.moments.reported(self._server.slowdown(), self._clock.now())
+        self._speed.slow_periods.reported(self._server.slowdown(), self._clock.now())
 
 
 class ModelledNode:
@@ -122,13 +122,13 @@
         if self._system.starts_until(self) > self._clock.now():
             peers = [peer for peer in peers if peer.data_centre == self.peer.data_centre]
         else:
-            self.directory.is_whole = True
+            self.directory.is_complete = True
         self.directory.merge(peers, "model")
 
-    def load(self) -> BesideLoad:
+    def load(self) -> NodeLoad:
         """Return what the node tells others."""
         gate = self.admitter.gate
-        return BesideLoad(gate.running, gate.waiting, gate.limit, self._speed.slowdown, 0.0)
+        return NodeLoad(gate.running, gate.waiting, gate.limit, self._speed.slowdown, 0.0)
 
     async def run(self, call: RoutedCall, admission: Admission) -> Outcome:
         """Run a request beside this node as a node does."""
@@ -146,13 +146,13 @@
         refused = self.repeats.refuse(call)
         if refused is not None:
             return refused
-        ruling = self.admitter.rule(demand, may_wait=may_wait)
-        if ruling.verdict is Verdict.FULL:
-            return Refused(ResultCode.SLOTS_FULL, ruling.retry_after)
-        if ruling.verdict is Verdict.SLOW:
-            return Refused(ResultCode.BACKEND_SERVER_SLOW, ruling.retry_after)
-        stay = await self.admitter.enter(call.route, demand, may_wait=may_wait)
-        if stay is None:
+        admission_decision = self.admitter.rule(demand, may_wait=may_wait)
+        if admission_decision.verdict is Verdict.FULL:
+            return Refused(ResultCode.SLOTS_FULL, admission_decision.retry_after)
+        if admission_decision.verdict is Verdict.SLOW:
+            return Refused(ResultCode.BACKEND_SERVER_SLOW, admission_decision.retry_after)
+        admitted_request = await self.admitter.enter(call.route, demand, may_wait=may_wait)
+        if admitted_request is None:
             retry_after = self.admitter.policy.time_to_start(demand)
             return Refused(ResultCode.QUEUE_TIMEOUT, retry_after)
         begun = self._clock.now()
@@ -168,15 +168,15 @@
             finally:
                 beside.end(running)
             if ended is Ended.DONE:
-                self.admitter.worked(stay, self._clock.now() - begun)
-            self._speed.moments.reported(self.server.slowdown(), self._clock.now())
+                self.admitter.worked(admitted_request, self._clock.now() - begun)
+            self._speed.slow_periods.reported(self.server.slowdown(), self._clock.now())
         finally:
-            self.admitter.leave(stay)
+            self.admitter.leave(admitted_request)
         match ended:
             case Ended.DONE:
-                return WholeAnswer(SUCCESS, [], b"")
+                return CompleteAnswer(SUCCESS, [], b"")
             case Ended.FAILED:
-                return WholeAnswer(FAILURE, [], b"")
+                return CompleteAnswer(FAILURE, [], b"")
             case Ended.SHED:
                 return Refused(ResultCode.BACKEND_SERVER_SHED, 0.1)
             case Ended.LOST:
@@ -191,5 +191,5 @@
         called = self._system.route_by_name[route.calls]
         time_left = call.deadline - self._clock.now()
         outcome = await self._system.ask(self, called, time_left, by_repeat=is_repeat)
-        served = isinstance(outcome, WholeAnswer) and outcome.status == SUCCESS
+        served = isinstance(outcome, CompleteAnswer) and outcome.status == SUCCESS
         return Ended.DONE if served else Ended.FAILED
--- a/src/hoisthook/experiment/modelled_server.py
+++ b/src/hoisthook/experiment/modelled_server.py
@@ -6,14 +6,14 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from hoisthook.experiment.load_pattern import Befall
+from hoisthook.experiment.load_pattern import DisruptionKind
 
 if TYPE_CHECKING:
     import random
 
+    from hoisthook.experiment.load_pattern import Disruption
     from hoisthook.experiment.load_pattern import RouteTraits
     from hoisthook.experiment.load_pattern import ServerTraits
-    from hoisthook.experiment.load_pattern import Trouble
     from hoisthook.port.clock import Clock
 
 
@@ -35,7 +35,7 @@
     ----------
     traits : ServerTraits
         How it works.
-    troubles : list of Trouble
+    troubles : list of Disruption
         What befalls it.
     randomness : random.Random
         Draws work and slow moments.
@@ -46,12 +46,12 @@
     def __init__(
         self,
         traits: ServerTraits,
-        troubles: list[Trouble],
+        troubles: list[Disruption],
         randomness: random.Random,
         clock: Clock,
     ) -> None:
         self._traits = traits
-        self._troubles = troubles
+        self._disruptions = troubles
         self._randomness = randomness
         self._clock = clock
         self._slots = asyncio.Semaphore(traits.slots)
@@ -77,20 +77,20 @@
 
     def is_up(self) -> bool:
         """Return whether it answers."""
-        return self._under(Befall.RESTART) is None
+        return self._under(DisruptionKind.RESTART) is None
 
     def is_gone(self) -> bool:
         """Return whether it and its node are gone without a word."""
-        return self._under(Befall.GONE) is not None
+        return self._under(DisruptionKind.GONE) is not None
 
     def silent_until(self) -> float:
         """Return until when its node answers nothing; 0 if it does answer."""
-        silent = self._under(Befall.SILENT)
+        silent = self._under(DisruptionKind.SILENT)
         return silent.at + silent.lasts if silent is not None else 0.0
 
     async def run(self, route: RouteTraits) -> Ended:
         """Run a request."""
-        sheds = self._under(Befall.SHEDS)
+        sheds = self._under(DisruptionKind.SHEDS)
         if sheds is not None and self._randomness.random() < sheds.strength:
             return Ended.SHED
         if self._waiting >= self._traits.queue:
@@ -109,13 +109,13 @@
 
     async def _work(self, route: RouteTraits) -> Ended:
         self.runs += 1
-        errors = self._under(Befall.ERRORS)
+        errors = self._under(DisruptionKind.ERRORS)
         if errors is not None and self._randomness.random() < errors.strength:
             return Ended.FAILED
         begun = self._clock.now()
         work = self._randomness.lognormvariate(0.0, route.spread) * route.work
         await asyncio.sleep(work * self._factor())
-        if any(begun < t.at <= self._clock.now() for t in self._of(Befall.RESTART)):
+        if any(begun < t.at <= self._clock.now() for t in self._of(DisruptionKind.RESTART)):
             return Ended.LOST
         return Ended.DONE
 
@@ -124,19 +124,21 @@
         factor = self.slowdown()
         if self.running > traits.knee * traits.slots:
             factor *= traits.knee_factor
-        degraded = self._under(Befall.DEGRADED)
+        degraded = self._under(DisruptionKind.DEGRADED)
         return factor if degraded is None else factor * degraded.strength
 
     def _is_cold(self, now: float) -> bool:
-        started = (t.at + t.lasts for t in self._of(Befall.RESTART) if t.at + t.lasts <= now)
+        started = (
+            t.at + t.lasts for t in self._of(DisruptionKind.RESTART) if t.at + t.lasts <= now
+        )
         return now - max(started, default=-self._traits.cold_seconds) < self._traits.cold_seconds
 
-    def _of(self, kind: Befall) -> list[Trouble]:
-        return [trouble for trouble in self._troubles if trouble.kind is kind]
+    def _of(self, kind: DisruptionKind) -> list[Disruption]:
+        return [disruption for disruption in self._disruptions if disruption.kind is kind]
 
-    def _under(self, kind: Befall) -> Trouble | None:
+    def _under(self, kind: DisruptionKind) -> Disruption | None:
         now = self._clock.now()
-        for trouble in self._of(kind):
-            if trouble.at <= now < trouble.at + trouble.lasts:
-                return trouble
+        for disruption in self._of(kind):
+            if disruption.at <= now < disruption.at + disruption.lasts:
+                return disruption
         return None
--- a/src/hoisthook/experiment/modelled_system.py
+++ b/src/hoisthook/experiment/modelled_system.py
@@ -6,8 +6,8 @@
 import random
 from typing import TYPE_CHECKING
 
-from hoisthook.experiment.load_pattern import Befall
-from hoisthook.experiment.load_pattern import Tally
+from hoisthook.experiment.load_pattern import DisruptionKind
+from hoisthook.experiment.load_pattern import LoadResults
 from hoisthook.experiment.modelled_node import SUCCESS
 from hoisthook.experiment.modelled_node import ModelledNode
 from hoisthook.experiment.modelled_server import ModelledServer
@@ -15,7 +15,7 @@
 from hoisthook.identity import DataCentre
 from hoisthook.identity import NodeId
 from hoisthook.identity import RequestId
-from hoisthook.mesh.outcome import WholeAnswer
+from hoisthook.mesh.outcome import CompleteAnswer
 from hoisthook.mesh.peer import Peer
 from hoisthook.mesh.routed_call import RoutedCall
 from hoisthook.node.call import Lost
@@ -24,9 +24,9 @@
 from hoisthook.result_code import ResultCode
 
 if TYPE_CHECKING:
+    from hoisthook.experiment.load_pattern import Disruption
     from hoisthook.experiment.load_pattern import LoadPattern
     from hoisthook.experiment.load_pattern import RouteTraits
-    from hoisthook.experiment.load_pattern import Trouble
     from hoisthook.identity import RouteName
     from hoisthook.identity import ServiceName
     from hoisthook.mesh.outcome import Outcome
@@ -55,14 +55,14 @@
         self._clock = LoopClock()
         self.route_by_name: dict[RouteName, RouteTraits] = {r.name: r for r in pattern.routes}
         self.node_by_id: dict[NodeId, ModelledNode] = {}
-        self.tally = Tally()
+        self.results = LoadResults()
         self._calls_of_repeats: set[RequestId] = set()
         self._starts_until: dict[NodeId, float] = {}
 
-    def play(self) -> Tally:
+    def play(self) -> LoadResults:
         """Play the pattern; return what became of its requests."""
         run_virtually(self._play())
-        return self.tally
+        return self.results
 
     def draw(self) -> int:
         """Return a seed."""
@@ -80,10 +80,12 @@
         """Note that a call reaches a backend server; return whether its run is a repeat."""
         by_repeat = call.request_id in self._calls_of_repeats
         now = self._clock.now()
-        return self.tally.arrivals.arrived(call.service, call.request_id, now, by_repeat=by_repeat)
+        return self.results.arrivals.arrived(
+            call.service, call.request_id, now, by_repeat=by_repeat
+        )
 
     async def ask(
-        self, entry: ModelledNode, route: RouteTraits, time_left: float, *, by_repeat: bool
+        self, ingress: ModelledNode, route: RouteTraits, time_left: float, *, by_repeat: bool
     ) -> Outcome:
         """Send one request to a node as a caller beside it, or the backend server, does."""
         now = self._clock.now()
@@ -95,7 +97,7 @@
             request_id=RequestId(str(self._requests)),
             route=route.name,
             service=route.service,
-            caller_service=entry.peer.service,
+            caller_service=ingress.peer.service,
             method=b"GET",
             target=b"/",
             headers=[],
@@ -106,12 +108,12 @@
             priority=route.priority,
             repeatable=route.repeatable,
             max_attempts=2,
-            sighting=entry.running.sighting(),
-            by_repeat=entry.running.repeated(route.name),
+            idle_observation=ingress.running.idle_observation(),
+            by_repeat=ingress.running.repeated(route.name),
         )
         try:
             async with asyncio.timeout(time_left):
-                return (await entry.dispatcher.dispatch(call)).outcome
+                return (await ingress.dispatcher.dispatch(call)).outcome
         except TimeoutError:
             return Lost(ResultCode.DEADLINE_DURING_RUN)
 
@@ -123,14 +125,14 @@
         for node in self.node_by_id.values():
             node.listed(peers)
         async with asyncio.TaskGroup() as callers:
-            for trouble in self._pattern.troubles:
-                if trouble.kind is Befall.NODE_STARTS:
-                    callers.create_task(self._start_nodes(trouble, peers))
+            for disruption in self._pattern.troubles:
+                if disruption.kind is DisruptionKind.NODE_STARTS:
+                    callers.create_task(self._start_nodes(disruption, peers))
             for route in self._pattern.routes:
                 if route.per_second > 0:
                     callers.create_task(self._arrivals(route, callers))
         for node in self.node_by_id.values():
-            self.tally.reads += node.reader.reads
+            self.results.reads += node.reader.reads
             node.admitter.close()
             node.hop.close()
         # Cancelled tasks end in the next turn of the loop.
@@ -139,7 +141,7 @@
     def _add_node(self, service: ServiceName, number: int) -> None:
         traits = next(s for s in self._pattern.services if s.name == service)
         troubles = [
-            t for t in self._pattern.troubles if _befalls(t, service, number, traits.servers)
+            t for t in self._pattern.troubles if _disrupts(t, service, number, traits.servers)
         ]
         server = ModelledServer(traits.traits, troubles, random.Random(self.draw()), self._clock)
         peer = Peer(
@@ -150,76 +152,76 @@
         )
         self.node_by_id[peer.node] = ModelledNode(peer, server, self, self._clock)
 
-    async def _start_nodes(self, trouble: Trouble, peers: list[Peer]) -> None:
-        await asyncio.sleep(trouble.at)
+    async def _start_nodes(self, disruption: Disruption, peers: list[Peer]) -> None:
+        await asyncio.sleep(disruption.at)
         nodes = list(self.node_by_id.values())
-        started = self._randomness.sample(nodes, round(trouble.share * len(nodes)))
+        started = self._randomness.sample(nodes, round(disruption.share * len(nodes)))
         for node in started:
-            self._starts_until[node.peer.node] = trouble.at + trouble.lasts
+            self._starts_until[node.peer.node] = disruption.at + disruption.lasts
             node.begin()
             node.listed(peers)
-        await asyncio.sleep(trouble.lasts)
+        await asyncio.sleep(disruption.lasts)
         for node in started:
             node.listed(peers)
 
     async def _arrivals(self, route: RouteTraits, callers: asyncio.TaskGroup) -> None:
-        entries = list(self.node_by_id.values())
+        ingresses = list(self.node_by_id.values())
         while self._clock.now() < self._pattern.seconds:
-            burst = self._strength(Befall.BURST, 1.0)
+            burst = self._strength(DisruptionKind.BURST, 1.0)
             await asyncio.sleep(self._randomness.expovariate(route.per_second * burst))
-            there = [entry for entry in entries if not entry.server.is_gone()]
-            entry = there[self._randomness.randrange(len(there))]
-            callers.create_task(self._caller(entry, route))
+            there = [ingress for ingress in ingresses if not ingress.server.is_gone()]
+            ingress = there[self._randomness.randrange(len(there))]
+            callers.create_task(self._caller(ingress, route))
 
-    async def _caller(self, entry: ModelledNode, route: RouteTraits) -> None:
+    async def _caller(self, ingress: ModelledNode, route: RouteTraits) -> None:
         begun = self._clock.now()
-        storm = self._strength(Befall.RETRIES, 0.0)
+        storm = self._strength(DisruptionKind.RETRIES, 0.0)
         retries = max(route.retries, int(storm))
-        outcome = await self._ask(entry, route, route.timeout)
+        outcome = await self._ask(ingress, route, route.timeout)
         while retries > 0 and _may_retry(outcome, route):
             retries -= 1
             wait = outcome.retry_after if isinstance(outcome, Refused) else IMPATIENT_SECONDS
             await asyncio.sleep(IMPATIENT_SECONDS if storm else wait)
             left = route.timeout - (self._clock.now() - begun)
-            outcome = await self._ask(entry, route, left)
+            outcome = await self._ask(ingress, route, left)
         self._count(route, begun, outcome)
 
-    async def _ask(self, entry: ModelledNode, route: RouteTraits, time_left: float) -> Outcome:
-        self.tally.arrivals.requested(route.service, self._clock.now())
-        return await self.ask(entry, route, time_left, by_repeat=False)
+    async def _ask(self, ingress: ModelledNode, route: RouteTraits, time_left: float) -> Outcome:
+        self.results.arrivals.requested(route.service, self._clock.now())
+        return await self.ask(ingress, route, time_left, by_repeat=False)
 
     def _count(self, route: RouteTraits, begun: float, outcome: Outcome) -> None:
-        tally = self.tally
+        results = self.results
         took = self._clock.now() - begun
         worth = 0.0
-        if isinstance(outcome, WholeAnswer) and outcome.status == SUCCESS:
+        if isinstance(outcome, CompleteAnswer) and outcome.status == SUCCESS:
             in_time = took <= route.target
             worth = route.worth if in_time else route.late_worth
-            tally.in_time += in_time
-            tally.late += not in_time
-            tally.seconds.append(took)
+            results.in_time += in_time
+            results.late += not in_time
+            results.seconds.append(took)
         elif isinstance(outcome, Refused):
-            tally.refused += 1
+            results.refused += 1
         else:
-            tally.failed += 1
+            results.failed += 1
         second = int(begun)
-        tally.owed += route.worth
-        tally.earned += worth
-        tally.owed_by_second[second] = tally.owed_by_second.get(second, 0.0) + route.worth
-        tally.earned_by_second[second] = tally.earned_by_second.get(second, 0.0) + worth
+        results.owed += route.worth
+        results.earned += worth
+        results.owed_by_second[second] = results.owed_by_second.get(second, 0.0) + route.worth
+        results.earned_by_second[second] = results.earned_by_second.get(second, 0.0) + worth
 
-    def _strength(self, kind: Befall, otherwise: float) -> float:
+    def _strength(self, kind: DisruptionKind, otherwise: float) -> float:
         now = self._clock.now()
-        for trouble in self._pattern.troubles:
-            if trouble.kind is kind and trouble.at <= now < trouble.at + trouble.lasts:
-                return trouble.strength
+        for disruption in self._pattern.troubles:
+            if disruption.kind is kind and disruption.at <= now < disruption.at + disruption.lasts:
+                return disruption.strength
         return otherwise
 
 
-def _befalls(trouble: Trouble, service: ServiceName, number: int, servers: int) -> bool:
-    if trouble.service and trouble.service != service:
+def _disrupts(disruption: Disruption, service: ServiceName, number: int, servers: int) -> bool:
+    if disruption.service and disruption.service != service:
         return False
-    return number < max(1, round(trouble.share * servers))
+    return number < max(1, round(disruption.share * servers))
 
 
 def _may_retry(outcome: Outcome, route: RouteTraits) -> bool:
--- a/src/hoisthook/experiment/pattern_file.py
+++ b/src/hoisthook/experiment/pattern_file.py
@@ -45,6 +45,6 @@
             yield f"routes.{route.name}.calls: no route is named {route.calls}"
         if min(route.work, route.target, route.timeout) <= 0 or route.per_second < 0:
             yield f"routes.{route.name}: work, target and timeout are above 0, per_second not below"
-    for trouble in pattern.troubles:
-        if trouble.service and trouble.service not in services:
-            yield f"troubles.service: no service is named {trouble.service}"
+    for disruption in pattern.troubles:
+        if disruption.service and disruption.service not in services:
+            yield f"troubles.service: no service is named {disruption.service}"
--- a/src/hoisthook/beside/admission_lines.py
+++ b/src/hoisthook/local_backend/admission_lines.py
@@ -5,11 +5,11 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from hoisthook.admission.admitter import Stay
+    from hoisthook.admission.admitter import AdmittedRequest
     from hoisthook.admission.priority_gate import PriorityGate
     from hoisthook.admission.server_speed import ServerSpeed
-    from hoisthook.mesh.backend_belief import BackendBelief
     from hoisthook.mesh.hop_header import Admission
+    from hoisthook.mesh.observed_backend import ObservedBackend
     from hoisthook.mesh.routed_call import RoutedCall
     from hoisthook.node.call import Refused
     from hoisthook.port.clock import Clock
@@ -25,7 +25,7 @@
         Slots and those that wait.
     speed : ServerSpeed
         How long work takes.
-    belief : BackendBelief
+    observed_backend : ObservedBackend
         State of the backend server.
     clock : Clock
         Monotonic.
@@ -37,31 +37,31 @@
         self,
         gate: PriorityGate,
         speed: ServerSpeed,
-        belief: BackendBelief,
+        observed_backend: ObservedBackend,
         clock: Clock,
         log: EventLog,
     ) -> None:
         self._gate = gate
         self._speed = speed
-        self._belief = belief
+        self._observed_backend = observed_backend
         self._clock = clock
         self._log = log
 
-    def admitted(self, call: RoutedCall, stay: Stay) -> None:
+    def admitted(self, call: RoutedCall, admitted_request: AdmittedRequest) -> None:
         """Note that a request got a slot."""
         now = self._clock.now()
-        moments = self._speed.moments
+        slow_periods = self._speed.slow_periods
         self._log.decision(
             "admitted",
             request=call.request_id,
             waited_ms=round((now - call.received) * 1000.0, 1),
             priority=call.priority,
             running=self._gate.running,
-            slowdown=stay.slowdown,
-            base=moments.base,
+            slowdown=admitted_request.slowdown,
+            base=slow_periods.base,
             pace=round(self._speed.pace(now), 2),
-            load_age_ms=round(moments.age(now) * 1000.0, 1),
-            may_be_wrong=round(moments.chance_of_change(now), 3),
+            load_age_ms=round(slow_periods.age(now) * 1000.0, 1),
+            may_be_wrong=round(slow_periods.chance_of_change(now), 3),
             cold=self._gate.cold.is_cold(now),
         )
 
@@ -79,7 +79,7 @@
             limit=self._gate.limit,
             slowdown=self._speed.slowdown,
             pace=round(self._speed.pace(now), 2),
-            load_age_ms=round(self._speed.moments.age(now) * 1000.0, 1),
-            state=self._belief.state.value,
+            load_age_ms=round(self._speed.slow_periods.age(now) * 1000.0, 1),
+            state=self._observed_backend.state.value,
             cold=self._gate.cold.is_cold(now),
         )
--- a/src/hoisthook/beside/backend_exchange.py
+++ b/src/hoisthook/local_backend/backend_exchange.py
@@ -6,12 +6,12 @@
 from typing import TYPE_CHECKING
 
 from hoisthook.admission.running_requests import RunningRequest
-from hoisthook.beside.end_watch import LostRun
 from hoisthook.exceptions import UnreachableError
+from hoisthook.local_backend.exit_detector import LostRequest
+from hoisthook.mesh.buffered_exchange import exchange_buffered
 from hoisthook.mesh.health_reader import CONNECT_SECONDS
 from hoisthook.mesh.health_reader import UNREACHABLE_SECONDS
-from hoisthook.mesh.outcome import WholeAnswer
-from hoisthook.mesh.whole_exchange import exchange_whole
+from hoisthook.mesh.outcome import CompleteAnswer
 from hoisthook.node.call import Lost
 from hoisthook.node.call import Refused
 from hoisthook.port.backend_wire import AnswerKind
@@ -24,13 +24,13 @@
     from hoisthook.adapter.http.client_connection import ClientConnection
     from hoisthook.adapter.http.client_pool import ClientPool
     from hoisthook.adapter.http.message import AnswerHead
-    from hoisthook.admission.admitter import Stay
+    from hoisthook.admission.admitter import AdmittedRequest
     from hoisthook.admission.running_requests import RunningRequests
     from hoisthook.admission.server_speed import ServerSpeed
-    from hoisthook.beside.end_watch import EndWatch
     from hoisthook.identity import Address
     from hoisthook.identity import InstanceId
-    from hoisthook.mesh.backend_belief import BackendBelief
+    from hoisthook.local_backend.exit_detector import ExitDetector
+    from hoisthook.mesh.observed_backend import ObservedBackend
     from hoisthook.mesh.outcome import Outcome
     from hoisthook.mesh.routed_call import RoutedCall
     from hoisthook.port.backend_wire import BackendWire
@@ -46,12 +46,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Exchanged:
+class ExchangeResult:
     """What became of a request that was admitted.
 
     Attributes
     ----------
-    outcome : WholeAnswer, Refused or Lost
+    outcome : CompleteAnswer, Refused or Lost
         The last word.
     seconds : float
         How long that took.
@@ -72,13 +72,13 @@
         How it is spoken to.
     pool : ClientPool
         Connections to it.
-    belief : BackendBelief
+    observed_backend : ObservedBackend
         Told of answers and losses.
     speed : ServerSpeed
         Told of its load.
     running : RunningRequests
         Told of what runs there.
-    ends : EndWatch
+    exit_detector : ExitDetector
         Told of what was lost there, and of answers.
     clock : Clock
         Monotonic, the loop's own.
@@ -91,20 +91,20 @@
         address: Address,
         wire: BackendWire,
         pool: ClientPool,
-        belief: BackendBelief,
+        observed_backend: ObservedBackend,
         speed: ServerSpeed,
         running: RunningRequests,
-        ends: EndWatch,
+        exit_detector: ExitDetector,
         clock: Clock,
         log: EventLog,
     ) -> None:
         self._address = address
         self._wire = wire
         self._pool = pool
-        self._belief = belief
+        self._observed_backend = observed_backend
         self._speed = speed
         self._running = running
-        self._ends = ends
+        self._exit_detector = exit_detector
         self._clock = clock
         self._log = log
 
@@ -116,7 +116,7 @@
         try:
             return await self._pool.open(self._address, CONNECT_SECONDS)
         except UnreachableError:
-            self._belief.unreachable(self._clock.now(), UNREACHABLE_SECONDS)
+            self._observed_backend.unreachable(self._clock.now(), UNREACHABLE_SECONDS)
             return Refused(ResultCode.UNREACHABLE, UNREACHABLE_SECONDS)
 
     async def run(
@@ -124,9 +124,9 @@
         call: RoutedCall,
         connection: ClientConnection,
         *,
-        stay: Stay,
+        admitted_request: AdmittedRequest,
         sent: Callable[[], None],
-    ) -> Exchanged:
+    ) -> ExchangeResult:
         """Send a request and take in its answer.
 
         Parameters
@@ -135,7 +135,7 @@
             Admitted.
         connection : ClientConnection
             Idle.
-        stay : Stay
+        admitted_request : AdmittedRequest
             What it was admitted to.
         sent : callable
             Told when it goes out.
@@ -145,17 +145,17 @@
         time_left = call.time_left(started)
         if time_left <= 0:
             self._pool.keep(self._address, connection)
-            return Exchanged(Refused(ResultCode.DEADLINE_PASSED, 0.0))
+            return ExchangeResult(Refused(ResultCode.DEADLINE_PASSED, 0.0))
         sent()
-        instance = self._belief.instance
+        instance = self._observed_backend.instance
         answered = await self._exchange(call, connection, time_left)
         seconds = self._clock.now() - started
         if isinstance(answered, Lost):
-            at_once = seconds < DROPPED_SHARE_OF_WORK * stay.work
+            at_once = seconds < DROPPED_SHARE_OF_WORK * admitted_request.work
             self._note_lost(call, answered, instance, seconds, at_once=at_once, reused=reused)
-            return Exchanged(answered, seconds)
+            return ExchangeResult(answered, seconds)
         self._pool.keep(self._address, connection)
-        self._ends.answered(instance, started)
+        self._exit_detector.answered(instance, started)
         head, body = answered
         outcome = self._read_answer(call, head, body)
         self._log.decision(
@@ -163,20 +163,22 @@
             request=call.request_id,
             status=head.status,
             took_ms=round(seconds * 1000.0, 1),
-            expected_ms=round(stay.slot.work * 1000.0, 1),
+            expected_ms=round(admitted_request.slot.work * 1000.0, 1),
         )
-        return Exchanged(outcome, seconds)
+        return ExchangeResult(outcome, seconds)
 
     async def _exchange(
         self, call: RoutedCall, connection: ClientConnection, time_left: float
     ) -> tuple[AnswerHead, bytes] | Lost:
         added = self._wire.added_headers(
-            BackendRequestHead(self._belief.instance, call.caller_service, time_left, call.team)
+            BackendRequestHead(
+                self._observed_backend.instance, call.caller_service, time_left, call.team
+            )
         )
         running = RunningRequest(call.request_id, call.route, call.priority, call.repeat)
         self._running.begin(running)
         try:
-            return await exchange_whole(
+            return await exchange_buffered(
                 connection,
                 call.method,
                 call.target,
@@ -212,37 +214,37 @@
         if lost.code is not ResultCode.DEADLINE_DURING_RUN:
             self._note_broken(at_once=at_once, reused=reused)
             if instance is not None:
-                lost_run = LostRun(call.request_id, call.work, instance, self._clock.now())
-                self._ends.broken(lost_run)
+                lost_request = LostRequest(call.request_id, call.work, instance, self._clock.now())
+                self._exit_detector.broken(lost_request)
 
     def _note_broken(self, *, at_once: bool, reused: bool) -> None:
         if not at_once:
-            self._belief.answered(failed=True)
+            self._observed_backend.answered(failed=True)
         elif reused:
             # It has let go of this idle connection, and so perhaps of the others.
             self._pool.forget(self._address)
         else:
-            self._belief.dropped(self._clock.now())
+            self._observed_backend.dropped(self._clock.now())
 
     def _read_answer(self, call: RoutedCall, head: AnswerHead, body: bytes) -> Outcome:
         reading = self._wire.read(head)
         if reading.load is not None:
-            self._belief.loaded(reading.load)
+            self._observed_backend.loaded(reading.load)
             self._running.reported(reading.load.running + reading.load.waiting)
-            self._speed.moments.reported(reading.load.slowdown, self._clock.now())
+            self._speed.slow_periods.reported(reading.load.slowdown, self._clock.now())
         match reading.kind:
             case AnswerKind.OTHER_INSTANCE:
                 if reading.instance is not None:
-                    self._belief.answered_as(reading.instance)
+                    self._observed_backend.answered_as(reading.instance)
                 return Refused(ResultCode.BACKEND_SERVER_REPLACED, REPLACED_RETRY_SECONDS)
             case AnswerKind.NOT_RUN:
                 return Refused(ResultCode.BACKEND_SERVER_SHED, 0.0)
             case AnswerKind.SPOILED:
-                self._belief.answered(failed=True)
+                self._observed_backend.answered(failed=True)
                 self._log.decision(
                     "backend_spoiled", request=call.request_id, status=head.status, bytes=len(body)
                 )
                 return Lost(ResultCode.ANSWER_SPOILED)
             case AnswerKind.OWN:
-                self._belief.answered(failed=head.status >= FAILURE_STATUS)
-                return WholeAnswer(head.status, reading.headers, body)
+                self._observed_backend.answered(failed=head.status >= FAILURE_STATUS)
+                return CompleteAnswer(head.status, reading.headers, body)
--- a/src/hoisthook/beside/crash_watch.py
+++ b/src/hoisthook/local_backend/crash_monitor.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 from typing import Protocol
 
-from hoisthook.beside.good_runs import GoodRuns
+from hoisthook.local_backend.successful_runs import SuccessfulRuns
 from hoisthook.node.call import Refused
 from hoisthook.result_code import ResultCode
 from hoisthook.retry.crash_evidence import MAX_WORKS
@@ -13,9 +13,9 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from hoisthook.beside.end_watch import LostRun
     from hoisthook.identity import ServiceName
     from hoisthook.identity import WorkId
+    from hoisthook.local_backend.exit_detector import LostRequest
     from hoisthook.port.clock import Clock
     from hoisthook.retry.crash_evidence import CrashEvidence
 
@@ -32,7 +32,7 @@
         """Return what is there of its body."""
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Return whether that is all of it."""
 
     @property
@@ -40,7 +40,7 @@
         """Return what it asks for."""
 
 
-class CrashWatch:
+class CrashMonitor:
     """Reports work under which the backend server beside ended, and refuses what ended several.
 
     Parameters
@@ -62,7 +62,7 @@
         self.service = service
         self._evidence = evidence
         self._clock = clock
-        self._good_runs = GoodRuns()
+        self._successful_runs = SuccessfulRuns()
         self._blamed: set[WorkId] = set()
         self._listeners: list[Callable[[], None]] = []
 
@@ -74,16 +74,16 @@
         """Return whether the backend server beside has ended under some work."""
         return work in self._blamed
 
-    def ended(self, lost: list[LostRun]) -> None:
+    def ended(self, lost: list[LostRequest]) -> None:
         """Take in what ran in the backend server as it ended."""
         now = self._clock.now()
-        blamed = [run for run in lost if run.work not in self._good_runs]
+        blamed = [run for run in lost if run.work not in self._successful_runs]
         if len(self._blamed) > MAX_WORKS:
             self._blamed.clear()
         self._blamed.update(run.work for run in blamed)
         for run in blamed:
             self._evidence.ended(self.service, run.work, run.instance, now)
-        self._good_runs.forget()
+        self._successful_runs.forget()
         if blamed:
             for listener in self._listeners:
                 listener()
@@ -93,7 +93,7 @@
         is_large = len(call.body) > MAX_REMEMBERED_BYTES
         if is_large and not self._evidence.suspects(self.service):
             return
-        self._good_runs.note(call.work)
+        self._successful_runs.note(call.work)
         self._evidence.ran_well(self.service, call.work, self._clock.now())
 
     def refuse(self, call: KnownWork) -> Refused | None:
@@ -102,7 +102,7 @@
         What cannot run without harm is refused before it has a slot: it would take the server and
         all that runs there with it.
         """
-        if not call.is_whole or not self._evidence.suspects(self.service):
+        if not call.is_complete or not self._evidence.suspects(self.service):
             return None
         seconds = self._evidence.refused_for(self.service, call.work, self._clock.now())
         return Refused(ResultCode.WORK_ENDS_SERVERS, seconds) if seconds > 0 else None
--- a/src/hoisthook/beside/end_watch.py
+++ b/src/hoisthook/local_backend/exit_detector.py
@@ -16,8 +16,8 @@
     from hoisthook.identity import InstanceId
     from hoisthook.identity import RequestId
     from hoisthook.identity import WorkId
-    from hoisthook.port.belief_log import BeliefLog
     from hoisthook.port.clock import Clock
+    from hoisthook.port.event_sink import EventSink
 
 # On the same instance a connection takes about a millisecond.
 CONNECT_SECONDS = 0.1
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LostRun:
+class LostRequest:
     """A request whose connection to the backend server broke while it ran.
 
     Attributes
@@ -50,7 +50,7 @@
     at: float
 
 
-class EndWatch:
+class ExitDetector:
     """Holds the requests lost lately until it is known whether their backend server ended.
 
     It has ended if no connection to it can be opened, or if another incarnation takes its place;
@@ -67,7 +67,7 @@
         Returns whether it was to take work.
     clock : Clock
         Monotonic.
-    log : BeliefLog
+    log : EventSink
         Gets a line for each end.
     """
 
@@ -77,19 +77,19 @@
         pool: ClientPool,
         takes_work: Callable[[], bool],
         clock: Clock,
-        log: BeliefLog,
+        log: EventSink,
     ) -> None:
         self._address = address
         self._pool = pool
         self._takes_work = takes_work
         self._clock = clock
         self._log = log
-        self._pending: list[LostRun] = []
-        self._listeners: list[Callable[[list[LostRun]], None]] = []
+        self._pending: list[LostRequest] = []
+        self._listeners: list[Callable[[list[LostRequest]], None]] = []
         self._checks = BackgroundTasks()
         self._is_checking = False
 
-    def on_ended(self, listener: Callable[[list[LostRun]], None]) -> None:
+    def on_ended(self, listener: Callable[[list[LostRequest]], None]) -> None:
         """Have ``listener`` told what ran in a backend server that ended."""
         self._listeners.append(listener)
 
@@ -97,7 +97,7 @@
         """Stop the check that is under way."""
         self._checks.close()
 
-    def broken(self, lost: LostRun) -> None:
+    def broken(self, lost: LostRequest) -> None:
         """Note that a request's connection broke while it ran."""
         self._pending = self._recent()
         if not self._takes_work() or len(self._pending) >= MAX_PENDING:
@@ -133,7 +133,7 @@
         finally:
             self._is_checking = False
 
-    def _recent(self) -> list[LostRun]:
+    def _recent(self) -> list[LostRequest]:
         since = self._clock.now() - PENDING_SECONDS
         return [lost for lost in self._pending if lost.at >= since]
 
--- a/src/hoisthook/beside/repeat_limit.py
+++ b/src/hoisthook/local_backend/repeat_limit.py
@@ -21,7 +21,7 @@
     from hoisthook.port.clock import Clock
     from hoisthook.port.event_log import EventLog
     from hoisthook.retry.arrival_budget import RetrySettings
-    from hoisthook.retry.idle_share import IdleSighting
+    from hoisthook.retry.idle_tracker import IdleObservation
 
 # Other nodes send no repeats for this long at most; requests that come meanwhile open sooner.
 MAX_CLOSED_SECONDS = 0.25
@@ -66,10 +66,10 @@
         """Return a number that changes with the nodes that are known."""
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Return whether all nodes are known that were registered."""
 
-    def beside_same_service(self) -> list[NodeId]:
+    def nodes_of_own_service(self) -> list[NodeId]:
         """Return the nodes beside backend servers of this node's service, itself included."""
 
 
@@ -79,7 +79,7 @@
     request_id: RequestId
     route: RouteName
     arrival: Arrival
-    sighting: IdleSighting
+    idle_observation: IdleObservation
     by_repeat: float
 
 
@@ -123,11 +123,11 @@
 
     def refresh(self) -> None:
         """Divide the fixed number among the nodes that are known now; begins to accrue by it."""
-        seen = (self._nodes.digest, self._nodes.is_whole)
+        seen = (self._nodes.digest, self._nodes.is_complete)
         if seen == self._seen:
             return
         self._seen = seen
-        nodes = self._nodes.beside_same_service() if self._nodes.is_whole else []
+        nodes = self._nodes.nodes_of_own_service() if self._nodes.is_complete else []
         self._shared_by = len(nodes)
         part = part_of(self._settings.extra, self._node, nodes) if nodes else 0.0
         self._budget.has_part(part, self._clock.now())
@@ -158,7 +158,7 @@
         now = self._clock.now()
         self._budget.arrived(call.arrival, now)
         if call.arrival is Arrival.FIRST:
-            self._callers.learn(call.route, call.sighting)
+            self._callers.learn(call.route, call.idle_observation)
             requests = self._callers.counted(call.route)
             self._requests += requests
             self._budget.requested(requests, now)
--- a/src/hoisthook/beside/good_runs.py
+++ b/src/hoisthook/local_backend/successful_runs.py
@@ -12,7 +12,7 @@
 MAX_WORKS = 1024
 
 
-class GoodRuns:
+class SuccessfulRuns:
     """Remembers what ended well, so that an end is not held against work that is run all the time.
 
     Load pattern: all backend servers of a service end at once for a cause of their own while some
--- a/src/hoisthook/measure/measurer.py
+++ b/src/hoisthook/measure/measurer.py
@@ -15,7 +15,7 @@
     from hoisthook.adapter.http.client_connection import ClientConnection
     from hoisthook.adapter.http.client_pool import ClientPool
     from hoisthook.measure.measure_budget import MeasureBudget
-    from hoisthook.node.beside import Beside
+    from hoisthook.node.local_backend import LocalBackend
     from hoisthook.port.clock import Clock
 
 READ_SECONDS = 0.25
@@ -39,7 +39,7 @@
 
     Parameters
     ----------
-    beside : Beside
+    local_backend : LocalBackend
         The backend server's side; its ``foreign_load`` is set here.
     pool : ClientPool
         Connections to the backend server.
@@ -50,9 +50,9 @@
     """
 
     def __init__(
-        self, beside: Beside, pool: ClientPool, budget: MeasureBudget, clock: Clock
+        self, local_backend: LocalBackend, pool: ClientPool, budget: MeasureBudget, clock: Clock
     ) -> None:
-        self._beside = beside
+        self._local_backend = local_backend
         self._pool = pool
         self._budget = budget
         self._clock = clock
@@ -68,20 +68,24 @@
         while True:
             rate = self._budget.rate
             await asyncio.sleep(1.0 / rate if rate > 0 else NO_RATE_SECONDS)
-            if self.path and self._beside.takes_work() and self._budget.take(self._clock.now()):
+            if (
+                self.path
+                and self._local_backend.takes_work()
+                and self._budget.take(self._clock.now())
+            ):
                 await self.read()
 
     async def read(self) -> None:
         """Read once; a read that fails teaches nothing."""
         started = self._clock.now()
-        running = self._beside.gate.running
+        running = self._local_backend.gate.running
         request = encode_request_head(
             b"GET", self.path.encode(), [(b"host", b"load"), (b"accept", b"application/json")]
         )
         size = len(request)
         try:
             async with asyncio.timeout(READ_SECONDS):
-                connection = await self._pool.acquire(self._beside.address, READ_SECONDS)
+                connection = await self._pool.acquire(self._local_backend.address, READ_SECONDS)
                 body = await self._fetch(connection, request)
         except (UnreachableError, BrokenExchangeError, TimeoutError):
             self._budget.account(size, self._clock.now() - started)
@@ -98,7 +102,7 @@
                 if len(body) > MAX_BYTES:
                     raise BrokenExchangeError("load reading too large")
         finally:
-            self._pool.keep(self._beside.address, connection)
+            self._pool.keep(self._local_backend.address, connection)
         return body
 
     def _learn(self, body: bytes, running_before: int) -> None:
@@ -106,9 +110,9 @@
             reading = msgspec.json.decode(body, type=LoadReading)
         except msgspec.DecodeError:
             return
-        gate = self._beside.gate
+        gate = self._local_backend.gate
         most = int(gate.slots * MAX_FOREIGN_SHARE)
         foreign = reading.active - max(running_before, gate.running)
         if not reading.healthy:
             foreign = most
-        self._beside.foreign_load = min(most, max(0, foreign))
+        self._local_backend.foreign_load = min(most, max(0, foreign))
--- a/src/hoisthook/membership/news_log.py
+++ b/src/hoisthook/membership/change_log.py
@@ -12,7 +12,7 @@
 COMPACT_BEYOND_ENTRIES = 64
 
 
-class NewsLog:
+class ChangeLog:
     """Nodes by the revision at which they were last added or changed.
 
     A list of 195 nodes is 20 KB; an answer to who asks every 0.6 s, told what came since, is
--- a/src/hoisthook/membership/asker_tree.py
+++ b/src/hoisthook/membership/poll_tree.py
@@ -25,7 +25,7 @@
     return sorted(peers, key=lambda peer: (-peer.link_mbps, zlib.crc32(peer.node.encode())))
 
 
-def places_to_ask(place: int, readers: int) -> list[int]:
+def poll_positions(place: int, readers: int) -> list[int]:
     """Return the places in the order whose nodes one asks; none for a reader.
 
     Both stand before the node itself, so that no two nodes ever ask each other, even where their
--- a/src/hoisthook/membership/suspicion.py
+++ b/src/hoisthook/membership/suspicion.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from hoisthook.identity import NodeId
-from hoisthook.membership.news_log import NewsLog
+from hoisthook.membership.change_log import ChangeLog
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -27,7 +27,7 @@
 SAME_FINDING_SECONDS = 0.5
 
 
-class Finding(msgspec.Struct, frozen=True, omit_defaults=True):
+class ReachabilityReport(msgspec.Struct, frozen=True, omit_defaults=True):
     """A node that could not be reached, or could be again.
 
     Attributes
@@ -57,7 +57,7 @@
     left: int = TELLINGS
 
 
-class Findings:
+class ReachabilityReports:
     """What this node has found out lately, and what it hands on of others' findings."""
 
     def __init__(self) -> None:
@@ -70,40 +70,43 @@
         self._found[node] = (reached, now)
         self._left_by_node[node] = TELLINGS
 
-    def relay(self, sender: NodeId, findings: Iterable[Finding], now: float) -> None:
+    def relay(self, sender: NodeId, findings: Iterable[ReachabilityReport], now: float) -> None:
         """Hand on what another node told: it leads to a reader in a few steps.
 
         A finding that was handed on already is not handed on again, so that two nodes that tell
         each other come to an end.
         """
-        for finding in findings:
-            key = (finding.reporter or sender, finding.node)
-            at = now - finding.age
+        for report in findings:
+            key = (report.reporter or sender, report.node)
+            at = now - report.age
             known = self._relayed.get(key)
             if known is None or at > known.at + SAME_FINDING_SECONDS:
-                self._relayed[key] = _Relayed(finding.reached, at)
+                self._relayed[key] = _Relayed(report.reached, at)
 
-    def current(self, now: float) -> list[Finding]:
+    def current(self, now: float) -> list[ReachabilityReport]:
         """Return what was found lately."""
         self._found = {
             node: found
             for node, found in self._found.items()
             if found[1] > now - REPORT_LIFE_SECONDS
         }
-        return [Finding(node, reached, now - at) for node, (reached, at) in self._found.items()]
+        return [
+            ReachabilityReport(node, reached, now - at)
+            for node, (reached, at) in self._found.items()
+        ]
 
-    def tell(self, now: float) -> list[Finding]:
+    def tell(self, now: float) -> list[ReachabilityReport]:
         """Return what is to be told to a reader, each finding a few times."""
-        told = [finding for finding in self.current(now) if finding.node in self._left_by_node]
-        for finding in told:
-            self._left_by_node[finding.node] -= 1
+        told = [report for report in self.current(now) if report.node in self._left_by_node]
+        for report in told:
+            self._left_by_node[report.node] -= 1
         self._left_by_node = {
             node: left for node, left in self._left_by_node.items() if left and node in self._found
         }
         told.extend(self._tell_relayed(now))
         return told
 
-    def _tell_relayed(self, now: float) -> Iterator[Finding]:
+    def _tell_relayed(self, now: float) -> Iterator[ReachabilityReport]:
         self._relayed = {
             key: found
             for key, found in self._relayed.items()
@@ -112,7 +115,7 @@
         for (reporter, node), found in self._relayed.items():
             if found.left > 0:
                 found.left -= 1
-                yield Finding(node, found.reached, now - found.at, reporter)
+                yield ReachabilityReport(node, found.reached, now - found.at, reporter)
 
 
 class SuspicionTable:
@@ -125,7 +128,7 @@
     """
 
     def __init__(self) -> None:
-        self._news = NewsLog()
+        self._change_log = ChangeLog()
         self._suspected: set[NodeId] = set()
         self._reported_at: dict[NodeId, dict[NodeId, float]] = {}
         self._reached_at: dict[NodeId, float] = {}
@@ -133,17 +136,17 @@
     @property
     def revision(self) -> int:
         """Return the revision of the newest change."""
-        return self._news.revision
+        return self._change_log.revision
 
-    def report(self, reporter: NodeId, findings: Iterable[Finding], now: float) -> None:
+    def report(self, reporter: NodeId, findings: Iterable[ReachabilityReport], now: float) -> None:
         """Take in the findings of one node; taken in twice they count once."""
-        for finding in findings:
-            found_at = now - finding.age
-            if finding.reached:
-                self.reached(finding.node, found_at)
+        for report in findings:
+            found_at = now - report.age
+            if report.reached:
+                self.reached(report.node, found_at)
             else:
-                source = finding.reporter or reporter
-                self._report_unreachable(source, finding.node, found_at, now)
+                source = report.reporter or reporter
+                self._report_unreachable(source, report.node, found_at, now)
 
     def adopt(self, nodes: Iterable[NodeId], now: float) -> list[NodeId]:
         """Suspect nodes on the word of a table that had the findings; return those taken.
@@ -158,7 +161,7 @@
         for node in taken:
             if node not in self._suspected:
                 self._suspected.add(node)
-                self._news.note(node)
+                self._change_log.note(node)
         return taken
 
     def reached(self, node: NodeId, at: float) -> None:
@@ -169,11 +172,11 @@
         self._reported_at.pop(node, None)
         if node in self._suspected:
             self._suspected.discard(node)
-            self._news.note(node)
+            self._change_log.note(node)
 
     def since(self, revision: int) -> tuple[list[NodeId], list[NodeId]]:
         """Return the nodes suspected, and those cleared, since a revision."""
-        changed = self._news.since(revision)
+        changed = self._change_log.since(revision)
         suspected = [node for node in changed if node in self._suspected]
         return suspected, [node for node in changed if node not in self._suspected]
 
@@ -189,4 +192,4 @@
         if len(recent) >= REPORTERS_NEEDED:
             del self._reported_at[node]
             self._suspected.add(node)
-            self._news.note(node)
+            self._change_log.note(node)
--- a/src/hoisthook/mesh/admitted_exchange.py
+++ b/src/hoisthook/mesh/admitted_exchange.py
@@ -9,9 +9,9 @@
 from hoisthook.adapter.http.message import encode_chunk
 from hoisthook.adapter.http.message import encode_request_head
 from hoisthook.exceptions import BrokenExchangeError
+from hoisthook.mesh.buffered_exchange import BODYLESS_METHODS
+from hoisthook.mesh.buffered_exchange import read_buffered
 from hoisthook.mesh.hop_header import wait_of
-from hoisthook.mesh.whole_exchange import BODYLESS_METHODS
-from hoisthook.mesh.whole_exchange import read_whole
 from hoisthook.node.call import Lost
 from hoisthook.node.call import Refused
 from hoisthook.result_code import ResultCode
@@ -128,7 +128,7 @@
         if self._held_back:
             self._connection.send_more(self._rest() if self._admitted else LAST_CHUNK)
         head = await self._answer
-        return head, await read_whole(self._connection)
+        return head, await read_buffered(self._connection)
 
     async def _hear(self, silence: float) -> bool:
         """Return whether it is known in time if the request is admitted.
--- a/src/hoisthook/mesh/backend_link.py
+++ b/src/hoisthook/mesh/backend_link.py
@@ -8,16 +8,16 @@
 from hoisthook.admission.admitter import Admitter
 from hoisthook.admission.running_requests import RunningRequests
 from hoisthook.admission.server_speed import ServerSpeed
-from hoisthook.beside.admission_lines import AdmissionLines
-from hoisthook.beside.backend_exchange import FAILURE_STATUS
-from hoisthook.beside.backend_exchange import BackendExchanges
-from hoisthook.beside.end_watch import EndWatch
-from hoisthook.mesh.backend_belief import BackendBelief
-from hoisthook.mesh.backend_belief import BackendState
-from hoisthook.mesh.beside_load import BesideLoad
+from hoisthook.local_backend.admission_lines import AdmissionLines
+from hoisthook.local_backend.backend_exchange import FAILURE_STATUS
+from hoisthook.local_backend.backend_exchange import BackendExchanges
+from hoisthook.local_backend.exit_detector import ExitDetector
 from hoisthook.mesh.health_reader import HealthReader
 from hoisthook.mesh.hop_header import Admission
-from hoisthook.mesh.outcome import WholeAnswer
+from hoisthook.mesh.node_load import NodeLoad
+from hoisthook.mesh.observed_backend import BackendState
+from hoisthook.mesh.observed_backend import ObservedBackend
+from hoisthook.mesh.outcome import CompleteAnswer
 from hoisthook.node.call import Lost
 from hoisthook.node.call import Refused
 from hoisthook.result_code import ResultCode
@@ -28,17 +28,17 @@
 
     from hoisthook.adapter.http.client_connection import ClientConnection
     from hoisthook.adapter.http.client_pool import ClientPool
-    from hoisthook.admission.admission_policy import Ruling
-    from hoisthook.admission.admitter import Stay
+    from hoisthook.admission.admission_policy import AdmissionDecision
+    from hoisthook.admission.admitter import AdmittedRequest
     from hoisthook.admission.demand import Demand
     from hoisthook.admission.priority_gate import PriorityGate
-    from hoisthook.beside.crash_watch import CrashWatch
-    from hoisthook.beside.link_settings import LinkSettings
-    from hoisthook.beside.repeat_limit import RepeatLimit
     from hoisthook.identity import Address
+    from hoisthook.local_backend.crash_monitor import CrashMonitor
+    from hoisthook.local_backend.link_settings import LinkSettings
+    from hoisthook.local_backend.repeat_limit import RepeatLimit
     from hoisthook.measure.measure_budget import MeasureBudget
     from hoisthook.membership.backend_incarnation import BackendIncarnation
-    from hoisthook.mesh.backend_belief import Announcement
+    from hoisthook.mesh.observed_backend import Announcement
     from hoisthook.mesh.outcome import Outcome
     from hoisthook.mesh.routed_call import RoutedCall
     from hoisthook.port.backend_wire import BackendWire
@@ -69,7 +69,7 @@
         Bounds the reads of its load.
     settings : LinkSettings
         How it is used.
-    crashes : CrashWatch
+    crashes : CrashMonitor
         Told of what ran there as it ended, and of what ran well; refuses.
     repeats : RepeatLimit
         Told of each arrival; refuses.
@@ -99,7 +99,7 @@
         clock: Clock,
         budget: MeasureBudget,
         settings: LinkSettings,
-        crashes: CrashWatch,
+        crashes: CrashMonitor,
         repeats: RepeatLimit,
         log: EventLog,
     ) -> None:
@@ -109,16 +109,26 @@
         self._log = log
         self._speed = ServerSpeed()
         self.running = RunningRequests(clock)
-        self.belief = BackendBelief(log)
-        self.ends = EndWatch(lambda: address, pool, lambda: self.belief.takes_work, clock, log)
+        self.observed_backend = ObservedBackend(log)
+        self.exit_detector = ExitDetector(
+            lambda: address, pool, lambda: self.observed_backend.takes_work, clock, log
+        )
         self._exchanges = BackendExchanges(
-            address, wire, pool, self.belief, self._speed, self.running, self.ends, clock, log
+            address,
+            wire,
+            pool,
+            self.observed_backend,
+            self._speed,
+            self.running,
+            self.exit_detector,
+            clock,
+            log,
         )
         self.health = HealthReader(
-            address, wire, pool, self.belief, self._speed, self.running, clock, log
+            address, wire, pool, self.observed_backend, self._speed, self.running, clock, log
         )
         self._admitter = Admitter(self._speed, self.health, budget, settings.usable_share, clock)
-        self.belief.on_replaced(self._replaced)
+        self.observed_backend.on_replaced(self._replaced)
         self.health.on_cold(self._observed_cold)
         if settings.cold_factor > 0:
             # Nothing is sent before the operators' rate is known.
@@ -126,8 +136,8 @@
         self._settings = settings
         self._crashes = crashes
         self.repeats = repeats
-        self.ends.on_ended(crashes.ended)
-        self._lines = AdmissionLines(self.gate, self._speed, self.belief, clock, log)
+        self.exit_detector.on_ended(crashes.ended)
+        self._lines = AdmissionLines(self.gate, self._speed, self.observed_backend, clock, log)
         self.leaving = False
         self.stopping = False
         self.evacuated = False
@@ -139,13 +149,13 @@
 
     def announced(self, announcement: Announcement) -> None:
         """Take in an announcement of the backend server."""
-        if self.belief.announced(announcement):
+        if self.observed_backend.announced(announcement):
             self.gate.cold.announced(announcement.cold_seconds, self._clock.now())
         self._adapt()
 
     def deregistered(self, incarnation: BackendIncarnation) -> None:
         """Take in that an incarnation of the backend server has left."""
-        self.belief.deregistered(incarnation)
+        self.observed_backend.deregistered(incarnation)
         self._adapt()
 
     def has_traits(self, traits: ServiceTraits | None) -> None:
@@ -168,14 +178,14 @@
         self.gate.cold.forget()
         self._adapt()
 
-    def load(self) -> BesideLoad:
+    def load(self) -> NodeLoad:
         """Return the load as it is now."""
-        return BesideLoad(
+        return NodeLoad(
             running=self.gate.running,
             waiting=self.gate.waiting,
             limit=self.gate.limit,
             slowdown=self._speed.slowdown,
-            failing=self.belief.failing,
+            failing=self.observed_backend.failing,
         )
 
     async def run(
@@ -200,10 +210,10 @@
             Told for how many seconds at most the request is kept waiting for a slot.
         """
         demand = self._demand(call)
-        if self.belief.state is BackendState.UNKNOWN:
+        if self.observed_backend.state is BackendState.UNKNOWN:
             await self._admitter.read()
             self._adapt()
-        elif self.belief.takes_work:
+        elif self.observed_backend.takes_work:
             await self._admitter.renew(demand)
         may_wait = admission is Admission.QUEUE
         if not may_wait:
@@ -211,38 +221,38 @@
             self._admitter.arrived(demand)
         refused = self._refuse(call, demand, may_wait=may_wait)
         if refused is None:
-            stay = await self._admitter.enter(
+            admitted_request = await self._admitter.enter(
                 call.route, demand, may_wait=may_wait, waiting=waiting
             )
-            if stay is not None:
-                self._lines.admitted(call, stay)
-                return await self._run_admitted(call, stay, admitted)
+            if admitted_request is not None:
+                self._lines.admitted(call, admitted_request)
+                return await self._run_admitted(call, admitted_request, admitted)
             refused = Refused(ResultCode.QUEUE_TIMEOUT, self._time_to_slot(call))
         self._lines.refused(call, admission, refused)
         return refused
 
     def close(self) -> None:
         """Stop what is under way besides requests."""
-        self.ends.close()
+        self.exit_detector.close()
         self.health.close()
         self._admitter.close()
 
     def _refuse(self, call: RoutedCall, demand: Demand, *, may_wait: bool) -> Refused | None:
         now = self._clock.now()
-        belief = self.belief
+        observed_backend = self.observed_backend
         if self.stopping:
             return Refused(ResultCode.NODE_STOPPING, DRAINING_RETRY_SECONDS)
         if self.leaving and not may_wait:
             return Refused(ResultCode.NODE_LEAVING, MIN_RETRY_AFTER_SECONDS)
         if self.evacuated:
             return Refused(ResultCode.DATA_CENTRE_EVACUATED, EVACUATED_RETRY_SECONDS)
-        if belief.state is BackendState.UNKNOWN and self.health.path is None:
+        if observed_backend.state is BackendState.UNKNOWN and self.health.path is None:
             # It may be leaving, and nothing says yet where its health is asked.
             return Refused(ResultCode.CONFIGURATION_MISSING, MIN_RETRY_AFTER_SECONDS)
-        if not belief.takes_work:
+        if not observed_backend.takes_work:
             return Refused(ResultCode.BACKEND_SERVER_DRAINING, DRAINING_RETRY_SECONDS)
-        if now < belief.closed_until:
-            return Refused(ResultCode.UNREACHABLE, belief.closed_until - now)
+        if now < observed_backend.closed_until:
+            return Refused(ResultCode.UNREACHABLE, observed_backend.closed_until - now)
         if call.time_left(now) <= 0:
             return Refused(ResultCode.DEADLINE_PASSED, 0.0)
         refused = self._crashes.refuse(call) or self.repeats.refuse(call)
@@ -259,7 +269,7 @@
         """
         if self.evacuated:
             return Refused(ResultCode.DATA_CENTRE_EVACUATED, EVACUATED_RETRY_SECONDS)
-        if not self.belief.takes_work:
+        if not self.observed_backend.takes_work:
             return Refused(ResultCode.BACKEND_SERVER_DRAINING, DRAINING_RETRY_SECONDS)
         return self._crashes.refuse(call) or self.repeats.arrives(call)
 
@@ -273,7 +283,10 @@
         )
 
     async def _run_admitted(
-        self, call: RoutedCall, stay: Stay, admitted: Callable[[], Awaitable[None]] | None
+        self,
+        call: RoutedCall,
+        admitted_request: AdmittedRequest,
+        admitted: Callable[[], Awaitable[None]] | None,
     ) -> Outcome:
         try:
             if admitted is not None:
@@ -285,22 +298,25 @@
             if refused is not None:
                 self._pool.keep(self._address, connection)
                 return refused
-            return await self._exchange(call, stay, connection)
+            return await self._exchange(call, admitted_request, connection)
         finally:
-            self._admitter.leave(stay)
+            self._admitter.leave(admitted_request)
 
     async def _exchange(
-        self, call: RoutedCall, stay: Stay, connection: ClientConnection
+        self, call: RoutedCall, admitted_request: AdmittedRequest, connection: ClientConnection
     ) -> Outcome:
-        exchanged = await self._exchanges.run(
-            call, connection, stay=stay, sent=lambda: self._admitter.sent(stay)
+        exchange_result = await self._exchanges.run(
+            call,
+            connection,
+            admitted_request=admitted_request,
+            sent=lambda: self._admitter.sent(admitted_request),
         )
-        outcome = exchanged.outcome
-        if isinstance(outcome, WholeAnswer) and outcome.status < FAILURE_STATUS:
-            self._admitter.worked(stay, exchanged.seconds)
+        outcome = exchange_result.outcome
+        if isinstance(outcome, CompleteAnswer) and outcome.status < FAILURE_STATUS:
+            self._admitter.worked(admitted_request, exchange_result.seconds)
             self._crashes.ran_well(call)
         elif isinstance(outcome, Lost) and outcome.code is ResultCode.DEADLINE_DURING_RUN:
-            self._admitter.gave_up(stay, exchanged.seconds)
+            self._admitter.gave_up(admitted_request, exchange_result.seconds)
         # The answer may have told of slots, or of another incarnation.
         self._adapt()
         if isinstance(outcome, Refused) and outcome.code is ResultCode.BACKEND_SERVER_SHED:
@@ -308,14 +324,14 @@
         return outcome
 
     def _adapt(self) -> None:
-        self._admitter.has_slots(self.belief.slots)
-        if self.evacuated or not self.belief.takes_work:
+        self._admitter.has_slots(self.observed_backend.slots)
+        if self.evacuated or not self.observed_backend.takes_work:
             self.gate.refuse_waiting()
         self.gate.admit()
 
     def _replaced(self) -> None:
         """Drop what was known of the incarnation before, and the connections to it."""
-        self.ends.replaced()
+        self.exit_detector.replaced()
         self._speed.reset()
         self.gate.cold.forget()
         self._pool.forget(self._address)
@@ -326,20 +342,20 @@
         self.gate.cold.observed(remaining, asked_at, now)
         if was_cold is not (remaining > 0):
             self._log.event(
-                "backend_cold", instance=self.belief.instance, seconds=round(remaining, 2)
+                "backend_cold", instance=self.observed_backend.instance, seconds=round(remaining, 2)
             )
 
     def _time_to_slot(self, call: RoutedCall) -> float:
         return self._admitter.policy.time_to_start(self._demand(call))
 
 
-def _refusal(ruling: Ruling) -> Refused | None:
-    match ruling.verdict:
+def _refusal(admission_decision: AdmissionDecision) -> Refused | None:
+    match admission_decision.verdict:
         case Verdict.ADMIT:
             return None
         case Verdict.FULL:
-            return Refused(ResultCode.SLOTS_FULL, ruling.retry_after)
+            return Refused(ResultCode.SLOTS_FULL, admission_decision.retry_after)
         case Verdict.COLD:
-            return Refused(ResultCode.BACKEND_SERVER_COLD, ruling.retry_after)
+            return Refused(ResultCode.BACKEND_SERVER_COLD, admission_decision.retry_after)
         case Verdict.SLOW:
-            return Refused(ResultCode.BACKEND_SERVER_SLOW, ruling.retry_after)
+            return Refused(ResultCode.BACKEND_SERVER_SLOW, admission_decision.retry_after)
--- a/src/hoisthook/mesh/whole_exchange.py
+++ b/src/hoisthook/mesh/buffered_exchange.py
@@ -22,7 +22,7 @@
 BODYLESS_METHODS = frozenset({b"GET", b"HEAD", b"DELETE", b"OPTIONS"})
 
 
-async def exchange_whole(
+async def exchange_buffered(
     connection: ClientConnection,
     method: bytes,
     target: bytes,
@@ -65,7 +65,7 @@
             head = await connection.send(data, bodyless_answer=method == b"HEAD", accepts=accepts)
             if piece_timeout is not None:
                 bound.reschedule(None)
-            return head, await read_whole(connection, piece_timeout)
+            return head, await read_buffered(connection, piece_timeout)
     except TimeoutError:
         connection.close()
         return Lost(ResultCode.DEADLINE_DURING_RUN)
@@ -77,7 +77,7 @@
         raise
 
 
-async def read_whole(connection: ClientConnection, piece_timeout: float | None = None) -> bytes:
+async def read_buffered(connection: ClientConnection, piece_timeout: float | None = None) -> bytes:
     """Return the rest of an answer's body.
 
     Parameters
--- a/src/hoisthook/mesh/configuration_watch.py
+++ b/src/hoisthook/mesh/configuration_watch.py
@@ -124,7 +124,7 @@
         self._is_doubted = False
         self._era = era
         self._lease = lease
-        era.on_change(self._came_back_older)
+        era.on_change(self._store_regressed)
         self._sync = sync
         self._readers = readers
         self._listed = listed
@@ -212,9 +212,9 @@
             reader.unreachable(self._clock.now())
             return False
         reader.connected()
-        news = reply.configuration
+        delta = reply.configuration
         # It would be told at once with each question.
-        self._is_unreadable = news is not None and news.version > self._holder.version
+        self._is_unreadable = delta is not None and delta.version > self._holder.version
         if reply.store_away:
             self._readers.turned_away(reader)
         else:
@@ -274,9 +274,9 @@
             self._offset = None
             raise StoreUnavailableError(ResultCode.STORE_UNAVAILABLE, "of an earlier history")
 
-    def _came_back_older(self) -> None:
+    def _store_regressed(self) -> None:
         """Read the newest records again, and once more when what was lost is written again."""
-        self._evacuated.came_back_older(self._clock.now())
+        self._evacuated.store_regressed(self._clock.now())
         self._is_doubted = True
         self._offset = None
 
--- a/src/hoisthook/mesh/crash_news.py
+++ b/src/hoisthook/mesh/crash_notifier.py
@@ -24,7 +24,7 @@
 TELLING_SECONDS = 120.0
 
 
-class CrashNews:
+class CrashNotifier:
     """Tells the nodes beside the service's other backend servers, until each has heard.
 
     Reports go straight to those who admit work for the service, rather than by way of the
--- a/src/hoisthook/mesh/crash_defence.py
+++ b/src/hoisthook/mesh/crash_protection.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING
 
-from hoisthook.beside.crash_watch import CrashWatch
-from hoisthook.mesh.crash_news import CrashNews
+from hoisthook.local_backend.crash_monitor import CrashMonitor
+from hoisthook.mesh.crash_notifier import CrashNotifier
 from hoisthook.mesh.crash_records import CrashRecords
 from hoisthook.retry.crash_evidence import CrashEvidence
 
@@ -19,7 +19,7 @@
     from hoisthook.port.record_store import RecordStore
 
 
-class CrashDefence:
+class CrashProtection:
     """What a node knows, sees, tells and keeps of work that ends backend servers.
 
     Parameters
@@ -35,34 +35,34 @@
     ----------
     evidence : CrashEvidence
         What it knows.
-    watch : CrashWatch
+    crash_monitor : CrashMonitor
         What it sees beside.
     """
 
     def __init__(self, service: ServiceName, clock: Clock, log: EventLog) -> None:
         self._clock = clock
         self._log = log
-        self._news: CrashNews | None = None
+        self._notifier: CrashNotifier | None = None
         self._records: CrashRecords | None = None
         self.evidence = CrashEvidence(log)
-        self.watch = CrashWatch(service, self.evidence, clock)
+        self.crash_monitor = CrashMonitor(service, self.evidence, clock)
 
     def tell_by(self, directory: PeerDirectory, sync: PeerSync) -> None:
         """Tell the other nodes of the service from now on."""
-        self._news = CrashNews(directory, sync, self._clock)
-        self.watch.on_reported(self._news.tell)
+        self._notifier = CrashNotifier(directory, sync, self._clock)
+        self.crash_monitor.on_reported(self._notifier.tell)
 
     def keep_in(self, store: RecordStore, topic: str, era: StoreEra) -> CrashRecords:
         """Keep in the store what is refused from now on; return what reads it there."""
         self._records = CrashRecords(
-            topic, store, self.evidence, self.watch, self._clock, self._log
+            topic, store, self.evidence, self.crash_monitor, self._clock, self._log
         )
         era.on_change(self._records.write_again)
         return self._records
 
     def close(self) -> None:
         """Stop telling and writing."""
-        if self._news is not None:
-            self._news.close()
+        if self._notifier is not None:
+            self._notifier.close()
         if self._records is not None:
             self._records.close()
--- a/src/hoisthook/mesh/crash_records.py
+++ b/src/hoisthook/mesh/crash_records.py
@@ -17,9 +17,9 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from hoisthook.beside.crash_watch import CrashWatch
     from hoisthook.identity import ServiceName
     from hoisthook.identity import WorkId
+    from hoisthook.local_backend.crash_monitor import CrashMonitor
     from hoisthook.port.clock import Clock
     from hoisthook.port.event_log import EventLog
     from hoisthook.port.record_store import RecordStore
@@ -61,7 +61,7 @@
         The platform's.
     evidence : CrashEvidence
         What is written, and gets what is read.
-    watch : CrashWatch
+    crash_monitor : CrashMonitor
         Tells whether this node has seen an end under the work itself.
     clock : Clock
         Monotonic.
@@ -76,7 +76,7 @@
         topic: str,
         store: RecordStore,
         evidence: CrashEvidence,
-        watch: CrashWatch,
+        crash_monitor: CrashMonitor,
         clock: Clock,
         log: EventLog,
         *,
@@ -85,7 +85,7 @@
         self._topic = topic
         self._store = store
         self._evidence = evidence
-        self._watch = watch
+        self._crash_monitor = crash_monitor
         self._clock = clock
         self._log = log
         self._wall = wall
@@ -119,7 +119,7 @@
             self._writing.start(self._write(record))
 
     def _refused(self, service: ServiceName, work: WorkId) -> None:
-        if not self._watch.has_blamed(work):
+        if not self._crash_monitor.has_blamed(work):
             return
         reports = list(self._evidence.reports_of(service, work, self._clock.now()))
         value = msgspec.json.encode(CrashRecord(self._wall(), reports))
--- a/src/hoisthook/mesh/health_reader.py
+++ b/src/hoisthook/mesh/health_reader.py
@@ -7,7 +7,7 @@
 
 from hoisthook.exceptions import UnreachableError
 from hoisthook.identity import format_address
-from hoisthook.mesh.whole_exchange import exchange_whole
+from hoisthook.mesh.buffered_exchange import exchange_buffered
 from hoisthook.node.call import Lost
 
 if TYPE_CHECKING:
@@ -17,7 +17,7 @@
     from hoisthook.admission.running_requests import RunningRequests
     from hoisthook.admission.server_speed import ServerSpeed
     from hoisthook.identity import Address
-    from hoisthook.mesh.backend_belief import BackendBelief
+    from hoisthook.mesh.observed_backend import ObservedBackend
     from hoisthook.port.backend_wire import BackendWire
     from hoisthook.port.clock import Clock
     from hoisthook.port.event_log import EventLog
@@ -43,7 +43,7 @@
         Reads its answers.
     pool : ClientPool
         Connections to it.
-    belief : BackendBelief
+    observed_backend : ObservedBackend
         Gets the state that is read.
     speed : ServerSpeed
         Gets the load that is read.
@@ -60,7 +60,7 @@
         address: Address,
         wire: BackendWire,
         pool: ClientPool,
-        belief: BackendBelief,
+        observed_backend: ObservedBackend,
         speed: ServerSpeed,
         running: RunningRequests,
         clock: Clock,
@@ -69,7 +69,7 @@
         self._address = address
         self._wire = wire
         self._pool = pool
-        self._belief = belief
+        self._observed_backend = observed_backend
         self._speed = speed
         self._running = running
         self._clock = clock
@@ -104,10 +104,10 @@
         try:
             connection = await self._pool.acquire(self._address, CONNECT_SECONDS)
         except UnreachableError:
-            self._belief.unreachable(self._clock.now(), UNREACHABLE_SECONDS)
+            self._observed_backend.unreachable(self._clock.now(), UNREACHABLE_SECONDS)
             return
         asked_at = self._clock.now()
-        answered = await exchange_whole(
+        answered = await exchange_buffered(
             connection,
             b"GET",
             self.path.encode(),
@@ -117,19 +117,19 @@
             accepts=self._wire.answers_health,
         )
         if isinstance(answered, Lost):
-            self._log.event("health_unanswered", instance=self._belief.instance)
+            self._log.event("health_unanswered", instance=self._observed_backend.instance)
             return
         self._pool.keep(self._address, connection)
         head, _ = answered
         reading = self._wire.read(head)
         if head.status >= UNHEALTHY_STATUS:
-            self._belief.refused_health()
+            self._observed_backend.refused_health()
         elif reading.instance is not None:
-            self._belief.answered_as(reading.instance)
+            self._observed_backend.answered_as(reading.instance)
         # A refusal for want of a slot says nothing of cold, also where the server is.
         if self._on_cold is not None and (head.status == OK or reading.cold_seconds > 0):
             self._on_cold(reading.cold_seconds, asked_at)
         if reading.load is not None:
-            self._belief.loaded(reading.load)
+            self._observed_backend.loaded(reading.load)
             self._running.reported(reading.load.running + reading.load.waiting)
-            self._speed.moments.reported(reading.load.slowdown, self._clock.now())
+            self._speed.slow_periods.reported(reading.load.slowdown, self._clock.now())
--- a/src/hoisthook/mesh/hop_header.py
+++ b/src/hoisthook/mesh/hop_header.py
@@ -13,8 +13,8 @@
 from hoisthook.identity import ServiceName
 from hoisthook.identity import TeamName
 from hoisthook.retry.arrival import Arrival
-from hoisthook.retry.idle_share import UNKNOWN
-from hoisthook.retry.idle_share import IdleSighting
+from hoisthook.retry.idle_tracker import UNKNOWN
+from hoisthook.retry.idle_tracker import IdleObservation
 
 if TYPE_CHECKING:
     from hoisthook.adapter.http.message import Header
@@ -83,7 +83,7 @@
         Who asks, if that is known.
     arrival : Arrival
         What is known of its earlier tries.
-    sighting : IdleSighting
+    idle_observation : IdleObservation
         What ran beside the sender when it came.
     by_repeat : float
         Chance that it is a call of a run that is a repeat itself.
@@ -100,7 +100,7 @@
     configuration: int
     team: TeamName | None = None
     arrival: Arrival = Arrival.FIRST
-    sighting: IdleSighting = UNKNOWN
+    idle_observation: IdleObservation = UNKNOWN
     by_repeat: float = 0.0
 
     def encode(self) -> bytes:
@@ -116,7 +116,8 @@
             str(round(self.target_left * MILLIS)),
             str(self.configuration),
             self.arrival.value,
-            f"{round(self.sighting.share * PERCENT)}{IDLE if self.sighting.is_idle else ''}",
+            f"{round(self.idle_observation.share * PERCENT)}"
+            f"{IDLE if self.idle_observation.is_idle else ''}",
             str(round(self.by_repeat * PERCENT)),
         ]
         if self.team is not None:
@@ -141,7 +142,7 @@
                 target_left=int(parts[7]) / MILLIS,
                 configuration=int(parts[8]),
                 arrival=Arrival(parts[9]),
-                sighting=_sighting(parts[10]),
+                idle_observation=_idle_observation(parts[10]),
                 by_repeat=int(parts[11]) / PERCENT,
                 team=TeamName(unquote(parts[12])) if len(parts) == FIELDS_WITH_TEAM else None,
             )
@@ -149,6 +150,6 @@
             return None
 
 
-def _sighting(value: str) -> IdleSighting:
+def _idle_observation(value: str) -> IdleObservation:
     is_idle = value.endswith(IDLE)
-    return IdleSighting(int(value.removesuffix(IDLE)) / PERCENT, is_idle)
+    return IdleObservation(int(value.removesuffix(IDLE)) / PERCENT, is_idle)
--- a/src/hoisthook/mesh/hop_server.py
+++ b/src/hoisthook/mesh/hop_server.py
@@ -10,7 +10,7 @@
 from hoisthook.exceptions import BrokenExchangeError
 from hoisthook.mesh import hop_header
 from hoisthook.mesh.hop_header import HopHeader
-from hoisthook.mesh.outcome import WholeAnswer
+from hoisthook.mesh.outcome import CompleteAnswer
 from hoisthook.mesh.routed_call import RoutedCall
 from hoisthook.node.call import Lost
 from hoisthook.node.call import Refused
@@ -24,7 +24,7 @@
     from hoisthook.mesh.peer_sync import PeerSync
     from hoisthook.port.clock import Clock
     from hoisthook.port.event_log import EventLog
-    from hoisthook.routing.link_pace import LinkPace
+    from hoisthook.routing.link_pacer import LinkPacer
 
 _FRAMING = frozenset({b"content-length"})
 NO_RETRY_AFTER = 0.0
@@ -39,11 +39,11 @@
     ----------
     service : ServiceName
         What the backend server beside serves.
-    beside : BackendLink
+    local_backend : BackendLink
         Runs them.
     sync : PeerSync
         Told of the configuration that the sender has.
-    pace : LinkPace
+    link_pacer : LinkPacer
         When large answers go out.
     clock : Clock
         Monotonic, the loop's own.
@@ -54,16 +54,16 @@
     def __init__(
         self,
         service: ServiceName,
-        beside: BackendLink,
+        local_backend: BackendLink,
         sync: PeerSync,
-        pace: LinkPace,
+        link_pacer: LinkPacer,
         clock: Clock,
         log: EventLog,
     ) -> None:
         self._service = service
-        self._beside = beside
+        self._local_backend = local_backend
         self._sync = sync
-        self._pace = pace
+        self._link_pacer = link_pacer
         self._clock = clock
         self._log = log
 
@@ -93,7 +93,7 @@
             return
         call = _call(exchange, header, received)
         held_back = exchange.head.get(b"transfer-encoding") is not None
-        call.is_whole = not held_back
+        call.is_complete = not held_back
         if not held_back:
             call.body = await exchange.body.read_all(piece_timeout=PIECE_SECONDS)
             # What came while the loop stood still is read one piece a turn.
@@ -107,24 +107,26 @@
             exchange.go_ahead()
             if held_back:
                 call.body = await exchange.body.read_all(piece_timeout=PIECE_SECONDS)
-                call.is_whole = True
+                call.is_complete = True
 
         def waiting(seconds: float) -> None:
             exchange.processing(hop_header.wait_headers(seconds))
 
-        outcome = await self._beside.run(call, header.admission, admitted=admitted, waiting=waiting)
-        await self._answer(exchange, outcome, owes=self._beside.repeats.owes_for(call))
+        outcome = await self._local_backend.run(
+            call, header.admission, admitted=admitted, waiting=waiting
+        )
+        await self._answer(exchange, outcome, owes=self._local_backend.repeats.owes_for(call))
 
     async def _answer(
         self, exchange: ServerExchange, outcome: Outcome, *, owes: bool = False
     ) -> None:
         told = dataclasses.replace(
-            self._beside.load(), configuration=self._sync.version, owes_repeats=owes
+            self._local_backend.load(), configuration=self._sync.version, owes_repeats=owes
         )
         load = (hop_header.LOAD, told.encode())
-        if isinstance(outcome, WholeAnswer):
+        if isinstance(outcome, CompleteAnswer):
             headers = [*outcome.headers, load]
-            await exchange.respond_paced(outcome.status, headers, outcome.body, self._pace)
+            await exchange.respond_paced(outcome.status, headers, outcome.body, self._link_pacer)
             return
         headers = [load, (hop_header.RESULT, b"%d" % outcome.code.number)]
         if isinstance(outcome, Refused):
@@ -156,7 +158,7 @@
         priority=header.priority,
         team=header.team,
         arrival=header.arrival,
-        sighting=header.sighting,
+        idle_observation=header.idle_observation,
         by_repeat=header.by_repeat,
         repeatable=False,
         max_attempts=1,
--- a/src/hoisthook/mesh/entry.py
+++ b/src/hoisthook/mesh/ingress.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from hoisthook.exceptions import BrokenExchangeError
-from hoisthook.mesh.outcome import WholeAnswer
+from hoisthook.mesh.outcome import CompleteAnswer
 from hoisthook.mesh.routed_call import RoutedCall
 from hoisthook.node.call import Lost
 from hoisthook.node.call import Refused
@@ -28,7 +28,7 @@
     from hoisthook.port.caller_wire import CallerWire
     from hoisthook.port.clock import Clock
     from hoisthook.port.event_log import EventLog
-    from hoisthook.routing.link_pace import LinkPace
+    from hoisthook.routing.link_pacer import LinkPacer
     from hoisthook.teams.key_lease import KeyLease
     from hoisthook.teams.quota_verdict import Token
     from hoisthook.teams.team import Team
@@ -81,7 +81,7 @@
         return rank_of(self.team, self.route.priority)
 
 
-class Entry:
+class Ingress:
     """The node's side towards callers.
 
     Parameters
@@ -94,13 +94,13 @@
         The routes.
     dispatcher : RoutedDispatcher
         Runs requests.
-    beside : RunningRequests
+    running_requests : RunningRequests
         What runs at the backend server beside, whose calls come here.
     lease : KeyLease
         Whether keys may be taken.
     quotas : QuotaGate
         Whose requests go beyond what their team may ask.
-    pace : LinkPace
+    link_pacer : LinkPacer
         When large answers go out.
     clock : Clock
         Monotonic, the loop's own.
@@ -114,10 +114,10 @@
         wire: CallerWire,
         configuration: ConfigurationHolder,
         dispatcher: RoutedDispatcher,
-        beside: RunningRequests,
+        running_requests: RunningRequests,
         lease: KeyLease,
         quotas: QuotaGate,
-        pace: LinkPace,
+        link_pacer: LinkPacer,
         clock: Clock,
         log: EventLog,
     ) -> None:
@@ -125,10 +125,10 @@
         self._wire = wire
         self._configuration = configuration
         self._dispatcher = dispatcher
-        self._beside = beside
+        self._running_requests = running_requests
         self._lease = lease
         self._quotas = quotas
-        self._pace = pace
+        self._link_pacer = link_pacer
         self._clock = clock
         self._log = log
         self._parts = PartChoice()
@@ -206,9 +206,11 @@
             return
         if isinstance(done.outcome, Refused):
             self._not_run(asked)
-        if isinstance(done.outcome, WholeAnswer):
+        if isinstance(done.outcome, CompleteAnswer):
             answer = done.outcome
-            await exchange.respond_paced(answer.status, answer.headers, answer.body, self._pace)
+            await exchange.respond_paced(
+                answer.status, answer.headers, answer.body, self._link_pacer
+            )
         self._conclude(
             exchange,
             request,
@@ -222,7 +224,7 @@
             ran=done.ran,
             arrived=done.arrived,
             sent_to=done.node,
-            made_by=call.made_by,
+            parent=call.parent,
         )
 
     def _call(
@@ -231,8 +233,8 @@
         request = asked.request
         route = asked.route
         rank = asked.rank
-        self._beside.arrived(route.name)
-        maker = self._beside.maker_of(route.name)
+        self._running_requests.arrived(route.name)
+        parent = self._running_requests.parent_of(route.name)
         return RoutedCall(
             request_id=request.request_id,
             route=route.name,
@@ -245,13 +247,13 @@
             received=asked.received,
             deadline=deadline,
             target_latency=route.target_latency,
-            priority=rank if maker is None else min(rank, maker.priority),
+            priority=rank if parent is None else min(rank, parent.priority),
             team=None if asked.team is None else asked.team.name,
-            made_by=None if maker is None else maker.request_id,
+            parent=None if parent is None else parent.request_id,
             repeatable=route.repeatable,
             max_attempts=route.max_attempts,
-            sighting=self._beside.sighting(),
-            by_repeat=self._beside.repeated(route.name),
+            idle_observation=self._running_requests.idle_observation(),
+            by_repeat=self._running_requests.repeated(route.name),
         )
 
     def _turn_away(
@@ -294,12 +296,12 @@
         self,
         exchange: ServerExchange,
         request: CallerRequest,
-        outcome: WholeAnswer | Refused | Lost,
+        outcome: CompleteAnswer | Refused | Lost,
         received: float,
         **fields: object,
     ) -> None:
         code = ResultCode.OK
-        if isinstance(outcome, WholeAnswer):
+        if isinstance(outcome, CompleteAnswer):
             # It has been delivered.
             fields["status"] = outcome.status
         else:
--- a/src/hoisthook/mesh/mesh_node.py
+++ b/src/hoisthook/mesh/mesh_node.py
@@ -10,19 +10,19 @@
 from hoisthook.adapter.http.call_server import CallServer
 from hoisthook.adapter.http.client_pool import ClientPool
 from hoisthook.adapter.loop_stalls import LoopStalls
-from hoisthook.beside.link_settings import LinkSettings
-from hoisthook.beside.repeat_limit import RepeatLimit
 from hoisthook.identity import DataCentre
 from hoisthook.identity import NodeId
 from hoisthook.identity import ServiceName
 from hoisthook.identity import parse_address
+from hoisthook.local_backend.link_settings import LinkSettings
+from hoisthook.local_backend.repeat_limit import RepeatLimit
 from hoisthook.measure.measure_budget import MeasureBudget
 from hoisthook.membership.store_era import StoreEra
 from hoisthook.mesh.backend_link import BackendLink
 from hoisthook.mesh.configuration_watch import ConfigurationWatch
-from hoisthook.mesh.crash_defence import CrashDefence
-from hoisthook.mesh.entry import Entry
+from hoisthook.mesh.crash_protection import CrashProtection
 from hoisthook.mesh.hop_server import HopServer
+from hoisthook.mesh.ingress import Ingress
 from hoisthook.mesh.node_status import NodeStatus
 from hoisthook.mesh.peer import Peer
 from hoisthook.mesh.peer_choice import ChoiceSettings
@@ -38,7 +38,7 @@
 from hoisthook.mesh.team_quotas import QUOTA_PATH
 from hoisthook.mesh.team_quotas import TeamQuotas
 from hoisthook.retry.arrival_budget import RetrySettings
-from hoisthook.routing.link_pace import LinkPace
+from hoisthook.routing.link_pacer import LinkPacer
 from hoisthook.teams.key_lease import KeyLease
 from hoisthook.traffic.configuration_exchange import ConfigurationExchange
 from hoisthook.traffic.configuration_holder import ConfigurationHolder
@@ -121,7 +121,7 @@
         self.evacuations = Evacuations(log)
         self.evacuations.on_change(self._evacuated)
         service = ServiceName(settings.node.service)
-        self.crashes = CrashDefence(service, clock, log)
+        self.crashes = CrashProtection(service, clock, log)
         self.directory = PeerDirectory(self._me(service), log)
         retry = RetrySettings(
             settings.retry.ratio, settings.retry.window_seconds, settings.retry.extra
@@ -138,7 +138,7 @@
                 settings.cold.rate_factor,
                 settings.cold.extra,
             ),
-            crashes=self.crashes.watch,
+            crashes=self.crashes.crash_monitor,
             repeats=self.repeats,
             log=log,
         )
@@ -193,10 +193,10 @@
             log=log,
         )
         self._hop = PeerHop(self._peer_pool, self.link, self.directory, self.sync, clock, log)
-        self._pace = LinkPace(settings.node.link_mbps)
-        self._entry = self._make_entry(service, caller_wire)
-        self._hop_server = HopServer(service, self.link, self.sync, self._pace, clock, log)
-        self._callers = CallServer(parse_address(settings.listen.callers), self._entry.handle)
+        self._link_pacer = LinkPacer(settings.node.link_mbps)
+        self._ingress = self._make_ingress(service, caller_wire)
+        self._hop_server = HopServer(service, self.link, self.sync, self._link_pacer, clock, log)
+        self._callers = CallServer(parse_address(settings.listen.callers), self._ingress.handle)
         self._peers = CallServer(
             parse_address(settings.listen.peers), self._serve_peer, continues_at_once=False
         )
@@ -301,7 +301,7 @@
         load = self.link.load()
         return NodeStatus(
             ready=self.ready,
-            backend_state=self.link.belief.state.value,
+            backend_state=self.link.observed_backend.state.value,
             running=load.running,
             waiting=load.waiting,
             limit=load.limit,
@@ -317,7 +317,7 @@
             stalled_seconds=self._stalls.seconds,
         )
 
-    def _make_entry(self, service: ServiceName, wire: CallerWire) -> Entry:
+    def _make_ingress(self, service: ServiceName, wire: CallerWire) -> Ingress:
         choice = PeerChoice(
             self.directory,
             ChoiceSettings(self.settings.routing.data_centre_cost),
@@ -325,7 +325,7 @@
             self._randomness,
         )
         dispatcher = RoutedDispatcher(choice, self._hop, self._clock)
-        return Entry(
+        return Ingress(
             service,
             wire,
             self.configuration,
@@ -333,7 +333,7 @@
             self.link.running,
             self.key_lease,
             self._quotas,
-            self._pace,
+            self._link_pacer,
             self._clock,
             self._log,
         )
--- a/src/hoisthook/mesh/beside_load.py
+++ b/src/hoisthook/mesh/node_load.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BesideLoad:
+class NodeLoad:
     """Load at one moment.
 
     Attributes
@@ -53,7 +53,7 @@
         )
 
     @classmethod
-    def decode(cls, value: bytes) -> BesideLoad | None:
+    def decode(cls, value: bytes) -> NodeLoad | None:
         """Return the load, or None if the value is none."""
         parts = value.split()
         if len(parts) != FIELDS or not all(part.isdigit() for part in parts):
--- a/src/hoisthook/mesh/node_status.py
+++ b/src/hoisthook/mesh/node_status.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from hoisthook.beside.repeat_limit import RepeatStatus
+    from hoisthook.local_backend.repeat_limit import RepeatStatus
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/hoisthook/mesh/backend_belief.py
+++ b/src/hoisthook/mesh/observed_backend.py
@@ -82,7 +82,7 @@
     state: BackendState
 
 
-class BackendBelief:
+class ObservedBackend:
     """State, incarnation, load and recent failures; times on the node's clock.
 
     Parameters
--- a/src/hoisthook/mesh/outcome.py
+++ b/src/hoisthook/mesh/outcome.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WholeAnswer:
+class CompleteAnswer:
     """A backend server's answer that arrived whole.
 
     Attributes
@@ -33,12 +33,12 @@
     body: bytes
 
 
-Outcome = WholeAnswer | Refused | Lost
+Outcome = CompleteAnswer | Refused | Lost
 """Answered; truly not run; or sent, with nothing known of what became of it."""
 
 
 @dataclass(frozen=True, slots=True)
-class Unheard:
+class PendingOutcome:
     """Sent whole to a node that has not said yet whether it runs it.
 
     Attributes
--- a/src/hoisthook/mesh/peer.py
+++ b/src/hoisthook/mesh/peer.py
@@ -14,7 +14,7 @@
 from hoisthook.identity import parse_address
 
 if TYPE_CHECKING:
-    from hoisthook.mesh.beside_load import BesideLoad
+    from hoisthook.mesh.node_load import NodeLoad
 
 # How fast a load report loses its value: load shifts every few hundred milliseconds.
 REPORT_LIFE_SECONDS = 0.3
@@ -88,7 +88,7 @@
         # Only what befell the node itself; it answers questions whatever is beside it.
         self.away_until = -math.inf
         self.suspected = False
-        self.load: BesideLoad | None = None
+        self.load: NodeLoad | None = None
         self.load_at = -math.inf
         self._sent_since = 0
         self._silent_at = -math.inf
@@ -104,7 +104,7 @@
         """Note that a request sent there is over."""
         self.in_flight -= 1
 
-    def reported(self, load: BesideLoad, now: float) -> None:
+    def reported(self, load: NodeLoad, now: float) -> None:
         """Take in a load report; the peer can be reached."""
         self.load = load
         self.load_at = now
--- a/src/hoisthook/mesh/peer_choice.py
+++ b/src/hoisthook/mesh/peer_choice.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from hoisthook.admission.slow_moments import SLOW_FACTOR
+from hoisthook.admission.slow_periods import SLOW_FACTOR
 from hoisthook.admission.work_times import WORK_SHARE_OF_TARGET
 
 if TYPE_CHECKING:
--- a/src/hoisthook/mesh/peer_directory.py
+++ b/src/hoisthook/mesh/peer_directory.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from hoisthook.identity import parse_address
-from hoisthook.membership.news_log import NewsLog
-from hoisthook.membership.suspicion import Findings
+from hoisthook.membership.change_log import ChangeLog
+from hoisthook.membership.suspicion import ReachabilityReports
 from hoisthook.mesh.peer import PeerView
 
 if TYPE_CHECKING:
@@ -39,7 +39,7 @@
 
     Attributes
     ----------
-    findings : Findings
+    findings : ReachabilityReports
         What this node has found out about others itself.
     digest : int
         Equal in two directories that hold the same nodes.
@@ -47,22 +47,22 @@
         Set once another node has told this one of all nodes unasked.
     listed : asyncio.Event
         Set once the store's list has been read or any other node is known.
-    is_whole : bool
+    is_complete : bool
         Whether all nodes are known that were registered: the store's list has been read, or another
         node has told it. What is divided by their number must not be divided by a few.
     """
 
     def __init__(self, me: Peer, log: EventLog) -> None:
         self._log = log
-        self._news = NewsLog()
-        self.findings = Findings()
+        self._change_log = ChangeLog()
+        self.findings = ReachabilityReports()
         self._by_node: dict[NodeId, PeerView] = {}
         self._by_service: dict[ServiceName, dict[NodeId, PeerView]] = {}
         self.me = me
         self.digest = 0
         self.told = asyncio.Event()
         self.listed = asyncio.Event()
-        self.is_whole = False
+        self.is_complete = False
         self._add(me)
 
     def __len__(self) -> int:
@@ -71,7 +71,7 @@
     @property
     def revision(self) -> int:
         """Return the revision of what is known; it grows with each node that is added."""
-        return self._news.revision
+        return self._change_log.revision
 
     def peers(self) -> list[Peer]:
         """Return all known nodes, this one included."""
@@ -79,7 +79,7 @@
 
     def peers_since(self, revision: int) -> list[Peer]:
         """Return the nodes that were added or changed after a revision."""
-        return [self._by_node[node].peer for node in self._news.since(revision)]
+        return [self._by_node[node].peer for node in self._change_log.since(revision)]
 
     def views(self) -> Iterable[PeerView]:
         """Return what is believed of all known nodes, this one included."""
@@ -103,7 +103,7 @@
         """Return the nodes beside backend servers of a service."""
         return self._by_service.get(service, {}).values()
 
-    def beside_same_service(self) -> list[NodeId]:
+    def nodes_of_own_service(self) -> list[NodeId]:
         """Return the nodes beside backend servers of this node's service, itself included."""
         return list(self._by_service.get(self.me.service, {}))
 
@@ -147,7 +147,7 @@
         )
         self._by_node[peer.node] = view
         self._by_service.setdefault(peer.service, {})[peer.node] = view
-        self._news.note(peer.node)
+        self._change_log.note(peer.node)
         self.digest ^= _digest(peer)
 
     def _drop(self, node: NodeId) -> bool:
@@ -155,7 +155,7 @@
         if view is None:
             return False
         del self._by_service[view.peer.service][node]
-        self._news.forget(node)
+        self._change_log.forget(node)
         self.digest ^= _digest(view.peer)
         return True
 
--- a/src/hoisthook/mesh/peer_hop.py
+++ b/src/hoisthook/mesh/peer_hop.py
@@ -11,10 +11,10 @@
 from hoisthook.exceptions import UnreachableError
 from hoisthook.mesh import hop_header
 from hoisthook.mesh.admitted_exchange import AdmittedExchange
-from hoisthook.mesh.beside_load import BesideLoad
 from hoisthook.mesh.hop_header import HopHeader
-from hoisthook.mesh.outcome import Unheard
-from hoisthook.mesh.outcome import WholeAnswer
+from hoisthook.mesh.node_load import NodeLoad
+from hoisthook.mesh.outcome import CompleteAnswer
+from hoisthook.mesh.outcome import PendingOutcome
 from hoisthook.node.call import Lost
 from hoisthook.node.call import Refused
 from hoisthook.result_code import BY_NUMBER
@@ -66,7 +66,7 @@
     ----------
     pool : ClientPool
         Connections to other nodes.
-    beside : BackendLink
+    local_backend : BackendLink
         This node's own backend server.
     directory : PeerDirectory
         Told of nodes that are not what they were.
@@ -86,14 +86,14 @@
     def __init__(
         self,
         pool: ClientPool,
-        beside: BackendLink,
+        local_backend: BackendLink,
         directory: PeerDirectory,
         sync: PeerSync,
         clock: Clock,
         log: EventLog,
     ) -> None:
         self._pool = pool
-        self._beside = beside
+        self._local_backend = local_backend
         self._directory = directory
         self._sync = sync
         self._clock = clock
@@ -120,14 +120,14 @@
 
     async def run(
         self, view: PeerView, call: RoutedCall, admission: Admission
-    ) -> Outcome | Unheard:
+    ) -> Outcome | PendingOutcome:
         """Run the request there and learn from what comes back."""
-        outcome: Outcome | Unheard
+        outcome: Outcome | PendingOutcome
         view.sent()
         try:
             if view.is_self:
-                outcome = await self._beside.run(call, admission)
-                view.reported(self._beside.load(), self._clock.now())
+                outcome = await self._local_backend.run(call, admission)
+                view.reported(self._local_backend.load(), self._clock.now())
             else:
                 outcome = await self._run_remote(view, call, admission)
         finally:
@@ -135,9 +135,9 @@
         self._note(view, outcome)
         return outcome
 
-    def _note(self, view: PeerView, outcome: Outcome | Unheard) -> None:
+    def _note(self, view: PeerView, outcome: Outcome | PendingOutcome) -> None:
         now = self._clock.now()
-        if isinstance(outcome, WholeAnswer):
+        if isinstance(outcome, CompleteAnswer):
             view.served()
         elif isinstance(outcome, Refused) and outcome.code is ResultCode.UNREACHABLE:
             view.backend_server_away(outcome.retry_after, now)
@@ -148,7 +148,7 @@
 
     async def _run_remote(
         self, view: PeerView, call: RoutedCall, admission: Admission
-    ) -> Outcome | Unheard:
+    ) -> Outcome | PendingOutcome:
         connection = await self._connect(view)
         if isinstance(connection, Refused):
             return connection
@@ -165,7 +165,7 @@
             configuration=self._sync.version,
             team=call.team,
             arrival=call.arrival,
-            sighting=call.sighting,
+            idle_observation=call.idle_observation,
             by_repeat=call.by_repeat,
         )
         exchange = AdmittedExchange(
@@ -181,7 +181,7 @@
         view.silent(self._clock.now())
         self._note_unreachable(view)
         self._log.decision("hop_unheard", **self._told(sent))
-        return Unheard(asyncio.ensure_future(self._hear_out(sent, exchange)))
+        return PendingOutcome(asyncio.ensure_future(self._hear_out(sent, exchange)))
 
     async def _hear_out(self, sent: _Sent, exchange: AdmittedExchange) -> Outcome:
         """Wait for what a silent node says of a request after all."""
@@ -265,19 +265,19 @@
         }
 
     def _read(self, view: PeerView, call: RoutedCall, head: AnswerHead, body: bytes) -> Outcome:
-        load = BesideLoad.decode(head.get(hop_header.LOAD) or b"")
+        load = NodeLoad.decode(head.get(hop_header.LOAD) or b"")
         if load is not None:
             view.reported(load, self._clock.now())
             self._sync.heard(view.address, load.configuration)
             if load.owes_repeats:
-                self._beside.repeats.called_owes(call)
+                self._local_backend.repeats.called_owes(call)
         result = head.get(hop_header.RESULT)
         if result is None:
             if load is None:
                 # Something else than a node answers there now.
                 self._directory.forget(view.peer.node, "not a node")
                 return Lost(ResultCode.ANSWER_SPOILED)
-            return WholeAnswer(head.status, _backend_headers(head), body)
+            return CompleteAnswer(head.status, _backend_headers(head), body)
         code = BY_NUMBER.get(int(result)) if result.isdigit() else None
         if code is None or code.ran is not Ran.NOT_RUN:
             return Lost(code or ResultCode.ANSWER_SPOILED)
--- a/src/hoisthook/mesh/peer_sync.py
+++ b/src/hoisthook/mesh/peer_sync.py
@@ -9,6 +9,7 @@
 import msgspec
 
 from hoisthook.exceptions import UnreachableError
+from hoisthook.mesh.buffered_exchange import exchange_buffered
 from hoisthook.mesh.peer_message import log_unreadable
 from hoisthook.mesh.peer_message import read_message
 from hoisthook.mesh.sync_answers import SyncAnswers
@@ -16,7 +17,6 @@
 from hoisthook.mesh.sync_messages import SyncReply
 from hoisthook.mesh.sync_messages import decode_message
 from hoisthook.mesh.sync_messages import encode_message
-from hoisthook.mesh.whole_exchange import exchange_whole
 from hoisthook.node.call import Lost
 from hoisthook.traffic.configuration_holder import ConfigurationSource
 from hoisthook.traffic.configuration_parts import NO_VERSION
@@ -249,7 +249,7 @@
             return None
         if connected is not None:
             connected.set()
-        answered = await exchange_whole(
+        answered = await exchange_buffered(
             connection,
             b"POST",
             SYNC_PATH,
@@ -313,7 +313,7 @@
         self._directory.merge([question.sender, *question.peers], "peer")
         self._contacted((exchange.peer[0], self.peer_port))
         if question.peers:
-            self._directory.is_whole = True
+            self._directory.is_complete = True
             self._directory.told.set()
         self._answers.take(question)
         if question.hold > 0 and not self._answers.has_changes_for(question):
@@ -357,6 +357,6 @@
 
     def _confirm(self, reply: SyncReply, asked_at: float) -> None:
         """Renew the lease on keys where all that the peer knows is in force here."""
-        news = reply.configuration
-        if reply.confirmed is not None and (news is None or news.version <= self.version):
+        delta = reply.configuration
+        if reply.confirmed is not None and (delta is None or delta.version <= self.version):
             self._lease.confirmed(asked_at - reply.confirmed)
--- a/src/hoisthook/mesh/quota_exchange.py
+++ b/src/hoisthook/mesh/quota_exchange.py
@@ -7,12 +7,12 @@
 import msgspec
 
 from hoisthook.exceptions import UnreachableError
+from hoisthook.mesh.buffered_exchange import exchange_buffered
 from hoisthook.mesh.peer_message import log_unreadable
 from hoisthook.mesh.peer_message import read_message
 from hoisthook.mesh.team_quotas import QUOTA_PATH
-from hoisthook.mesh.whole_exchange import exchange_whole
 from hoisthook.node.call import Lost
-from hoisthook.teams.quota_desk import QuotaDesk
+from hoisthook.teams.quota_coordinator import QuotaCoordinator
 from hoisthook.teams.quota_messages import QuotaAnswer
 from hoisthook.teams.quota_messages import QuotaQuestion
 from hoisthook.teams.quota_owners import QuotaOwners
@@ -26,7 +26,7 @@
     from hoisthook.port.clock import Clock
     from hoisthook.port.event_log import EventLog
     from hoisthook.teams.quota_bounds import QuotaBounds
-    from hoisthook.teams.quota_owners import Seat
+    from hoisthook.teams.quota_owners import QuotaPeer
     from hoisthook.teams.quota_verdict import OverQuota
     from hoisthook.teams.quota_verdict import Token
     from hoisthook.teams.team import Quota
@@ -39,7 +39,7 @@
 
 
 class QuotaExchange:
-    """A `hoisthook.teams.quota_desk.QuotaTransport`, and the desk that it serves.
+    """A `hoisthook.teams.quota_coordinator.QuotaTransport`, and the desk that it serves.
 
     Parameters
     ----------
@@ -68,7 +68,9 @@
         self._log = log
         self._near: frozenset[Address] = frozenset()
         self._known_digest: int | None = None
-        self.desk = QuotaDesk(bounds, directory.me.data_centre, self, clock, log)
+        self.quota_coordinator = QuotaCoordinator(
+            bounds, directory.me.data_centre, self, clock, log
+        )
 
     def refresh(self) -> None:
         """Take in who is there, if that has changed."""
@@ -77,46 +79,46 @@
             return
         self._known_digest = directory.digest
         self._near = frozenset(v.address for v in directory.others() if v.same_data_centre)
-        self.desk.knows(QuotaOwners(directory.views()))
+        self.quota_coordinator.knows(QuotaOwners(directory.views()))
 
     def close(self) -> None:
         """Stop what is under way."""
-        self.desk.close()
+        self.quota_coordinator.close()
 
     async def admit(self, team: TeamName, quota: Quota, rank: int) -> Token | OverQuota:
         """Return what admits a request of a team, or why it is not admitted."""
         self.refresh()
-        return await self.desk.admit(team, quota, rank)
+        return await self.quota_coordinator.admit(team, quota, rank)
 
     def not_run(self, team: TeamName, quota: Quota, token: Token) -> None:
         """Take in that a request that was admitted has not run."""
-        self.desk.not_run(team, quota, token)
+        self.quota_coordinator.not_run(team, quota, token)
 
     def contacted(self, address: Address) -> None:
         """Note that another node was heard from."""
         self.refresh()
         if address in self._near:
-            self.desk.heard()
+            self.quota_coordinator.heard()
 
-    async def ask(self, seat: Seat, question: QuotaQuestion) -> QuotaAnswer | None:
+    async def ask(self, quota_peer: QuotaPeer, question: QuotaQuestion) -> QuotaAnswer | None:
         """Return a node's answer, or None if it gave none."""
         try:
-            connection = await self._pool.acquire(seat.address, CONNECT_SECONDS)
+            connection = await self._pool.acquire(quota_peer.address, CONNECT_SECONDS)
         except UnreachableError as error:
-            self._log.event("quota_silent", peer=seat.peer.node, reason=str(error))
+            self._log.event("quota_silent", peer=quota_peer.peer.node, reason=str(error))
             return None
-        answered = await exchange_whole(
+        answered = await exchange_buffered(
             connection,
             b"POST",
             QUOTA_PATH,
-            [(b"host", seat.address[0].encode())],
+            [(b"host", quota_peer.address[0].encode())],
             msgspec.msgpack.encode(question),
             timeout=ANSWER_SECONDS,
         )
         if isinstance(answered, Lost):
-            self._log.event("quota_silent", peer=seat.peer.node, reason=answered.code.name)
+            self._log.event("quota_silent", peer=quota_peer.peer.node, reason=answered.code.name)
             return None
-        self._pool.keep(seat.address, connection)
+        self._pool.keep(quota_peer.address, connection)
         return self._read(answered[1])
 
     async def serve(self, exchange: ServerExchange) -> None:
@@ -125,7 +127,7 @@
         if asked is None:
             return
         self.refresh()
-        answer = await self.desk.answer(asked)
+        answer = await self.quota_coordinator.answer(asked)
         exchange.respond(200, [], msgspec.msgpack.encode(answer))
 
     def _read(self, data: bytes) -> QuotaAnswer | None:
--- a/src/hoisthook/mesh/registration.py
+++ b/src/hoisthook/mesh/registration.py
@@ -115,7 +115,7 @@
         self._number = 0
         self._registered_at = -math.inf
         self._again = BackgroundTasks()
-        era.on_change(self._came_back_older)
+        era.on_change(self._store_regressed)
         self._backoff = FIRST_BACKOFF_SECONDS
 
     async def run(self) -> None:
@@ -135,7 +135,7 @@
         """Stop registering again."""
         self._again.close()
 
-    def _came_back_older(self) -> None:
+    def _store_regressed(self) -> None:
         if self._clock.now() - self._registered_at < COPY_AGE_SECONDS:
             self._again.start(self._register_again())
 
@@ -198,7 +198,7 @@
         page = await self._store.newest(self._topic)
         peers = list(self._peers(page))
         self._directory.merge(peers, "store")
-        self._directory.is_whole = True
+        self._directory.is_complete = True
         self._directory.listed.set()
         return peers
 
--- a/src/hoisthook/mesh/routed_call.py
+++ b/src/hoisthook/mesh/routed_call.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING
 
 from hoisthook.retry.arrival import Arrival
-from hoisthook.retry.idle_share import UNKNOWN
-from hoisthook.retry.idle_share import IdleSighting
+from hoisthook.retry.idle_tracker import UNKNOWN
+from hoisthook.retry.idle_tracker import IdleObservation
 from hoisthook.retry.work_identity import identify
 
 if TYPE_CHECKING:
@@ -54,18 +54,18 @@
         Backend servers that it may be sent to, at most.
     team : TeamName or None
         Who asks; None where teams are not told apart or none is known.
-    made_by : RequestId or None
+    parent : RequestId or None
         The request that runs beside the first node and makes this one, if any does.
     arrival : Arrival
         What is known of its earlier tries.
-    sighting : IdleSighting
+    idle_observation : IdleObservation
         What ran beside the first node when it came, by which callers' requests are told from calls.
     by_repeat : float
         Chance that it is a call of a run that is a repeat itself.
     held_back : bool
         Whether its end is sent only to a node that has asked for it, so that it runs nowhere
         else.
-    is_whole : bool
+    is_complete : bool
         Whether its body is here; false beside a backend server until one that is held back has
         been asked for.
     """
@@ -85,12 +85,12 @@
     repeatable: bool
     max_attempts: int
     team: TeamName | None = None
-    made_by: RequestId | None = None
+    parent: RequestId | None = None
     arrival: Arrival = Arrival.FIRST
-    sighting: IdleSighting = UNKNOWN
+    idle_observation: IdleObservation = UNKNOWN
     by_repeat: float = 0.0
     held_back: bool = False
-    is_whole: bool = True
+    is_complete: bool = True
 
     def __post_init__(self) -> None:
         if not self.repeatable or self.max_attempts <= 1:
--- a/src/hoisthook/mesh/routed_dispatcher.py
+++ b/src/hoisthook/mesh/routed_dispatcher.py
@@ -10,13 +10,13 @@
 from typing import Protocol
 
 from hoisthook.mesh.hop_header import Admission
-from hoisthook.mesh.outcome import Unheard
+from hoisthook.mesh.outcome import PendingOutcome
 from hoisthook.mesh.routed_progress import RoutedProgress
 from hoisthook.node.call import Lost
 from hoisthook.node.call import Refused
 from hoisthook.result_code import ResultCode
 from hoisthook.retry.arrival import Arrival
-from hoisthook.routing.try_yield import TryYield
+from hoisthook.routing.admission_rate import AdmissionRate
 
 if TYPE_CHECKING:
     from hoisthook.mesh.outcome import Outcome
@@ -54,7 +54,7 @@
 
     async def run(
         self, view: PeerView, call: RoutedCall, admission: Admission
-    ) -> Outcome | Unheard:
+    ) -> Outcome | PendingOutcome:
         """Run a request at a node and learn from what comes back."""
 
     def probe(self, view: PeerView) -> None:
@@ -67,7 +67,7 @@
 
     Attributes
     ----------
-    outcome : WholeAnswer, Refused or Lost
+    outcome : CompleteAnswer, Refused or Lost
         The last word.
     tries : int
         Nodes it was handed to.
@@ -97,7 +97,7 @@
     its loop may have stood still, or the way to it be slow. What was admitted and not answered is
     tried again only if it may be repeated and the route allows another attempt. Each try says
     whether it would be the first to arrive; whether the service has room for others is known
-    beside its backend servers, see `hoisthook.beside.repeat_limit`.
+    beside its backend servers, see `hoisthook.local_backend.repeat_limit`.
 
     Parameters
     ----------
@@ -114,7 +114,9 @@
         self._hop = hop
         self._clock = clock
         # Each kind of repeat has room of its own.
-        self._yield_by_arrival = {arrival: TryYield() for arrival in Arrival if arrival.is_repeat}
+        self._admission_rate_by_arrival = {
+            arrival: AdmissionRate() for arrival in Arrival if arrival.is_repeat
+        }
 
     async def dispatch(self, call: RoutedCall) -> Dispatched:
         """Run the request somewhere, or say what is known of it."""
@@ -157,7 +159,7 @@
     def _is_repeated_in_vain(self, call: RoutedCall, progress: RoutedProgress, now: float) -> bool:
         if not call.arrival.is_repeat or not progress.refused_repeats:
             return False
-        return not self._yield_by_arrival[call.arrival].is_worth_another(call.service, now)
+        return not self._admission_rate_by_arrival[call.arrival].is_worth_another(call.service, now)
 
     async def _try(
         self, view: PeerView, admission: Admission, call: RoutedCall, progress: RoutedProgress
@@ -165,7 +167,7 @@
         progress.tries += 1
         progress.node = view.peer.node
         running = self._hop.run(view, call, admission)
-        if progress.unheard:
+        if progress.pending_outcomes:
             outcome = await self._first_of(asyncio.ensure_future(running), progress)
         else:
             outcome = await running
@@ -177,25 +179,25 @@
         self._learn(call, outcome, now)
         progress.take(view.peer.node, outcome, now)
 
-    def _learn(self, call: RoutedCall, outcome: Outcome | Unheard, now: float) -> None:
+    def _learn(self, call: RoutedCall, outcome: Outcome | PendingOutcome, now: float) -> None:
         """Learn from a repeat whether its service has room for others."""
-        if not call.arrival.is_repeat or isinstance(outcome, Unheard):
+        if not call.arrival.is_repeat or isinstance(outcome, PendingOutcome):
             return
         if isinstance(outcome, Lost) and not outcome.admitted:
             return
         code = outcome.code if isinstance(outcome, Refused) else None
         if code in _DECIDED_CODES:
             is_admitted = code is not ResultCode.RETRY_BUDGET_SPENT
-            seen = self._yield_by_arrival[call.arrival]
+            seen = self._admission_rate_by_arrival[call.arrival]
             seen.note(call.service, now, is_admitted=is_admitted)
 
     async def _first_of(
-        self, trial: asyncio.Future[Outcome | Unheard], progress: RoutedProgress
-    ) -> Outcome | Unheard | None:
+        self, trial: asyncio.Future[Outcome | PendingOutcome], progress: RoutedProgress
+    ) -> Outcome | PendingOutcome | None:
         """Return what becomes of a try; None if a silent node answers before."""
         try:
             while progress.answer is None and not trial.done():
-                pending: list[asyncio.Future[Any]] = [trial, *progress.unheard]
+                pending: list[asyncio.Future[Any]] = [trial, *progress.pending_outcomes]
                 await asyncio.wait(pending, return_when=FIRST_COMPLETED)
                 progress.take_late(self._clock.now())
             return trial.result() if trial.done() else None
@@ -212,12 +214,12 @@
         that leaves hears them out to the deadline: it has no later moment at which to make good
         a request that it gave up, and its caller would see the shutdown cut it.
         """
-        if progress.is_refused or not progress.unheard:
+        if progress.is_refused or not progress.pending_outcomes:
             return False
         now = self._clock.now()
         seconds = call.time_left(now) if self._hop.leaving else call.target_left(now)
         heard, _ = await asyncio.wait(
-            progress.unheard, timeout=max(0.0, seconds), return_when=FIRST_COMPLETED
+            progress.pending_outcomes, timeout=max(0.0, seconds), return_when=FIRST_COMPLETED
         )
         progress.take_late(self._clock.now())
         # It may have been told to leave meanwhile.
@@ -235,10 +237,10 @@
     return view.same_data_centre or len(progress.asked) < MAX_DIRECT_TRIES
 
 
-def _withdraw(trial: asyncio.Future[Outcome | Unheard]) -> None:
+def _withdraw(trial: asyncio.Future[Outcome | PendingOutcome]) -> None:
     """Withdraw a request that nobody waits for any more, also from a silent node."""
     if trial.cancelled() or trial.exception() is not None:
         return
     outcome = trial.result()
-    if isinstance(outcome, Unheard):
+    if isinstance(outcome, PendingOutcome):
         outcome.heard.cancel()
--- a/src/hoisthook/mesh/routed_progress.py
+++ b/src/hoisthook/mesh/routed_progress.py
@@ -6,8 +6,8 @@
 from dataclasses import field
 from typing import TYPE_CHECKING
 
-from hoisthook.mesh.outcome import Unheard
-from hoisthook.mesh.outcome import WholeAnswer
+from hoisthook.mesh.outcome import CompleteAnswer
+from hoisthook.mesh.outcome import PendingOutcome
 from hoisthook.node.call import Lost
 from hoisthook.node.call import Refused
 from hoisthook.result_code import ResultCode
@@ -56,13 +56,13 @@
         Backend servers that have rejected it.
     refused_repeats : int
         Nodes at which the budget of repeats had no room for it.
-    lost_unheard : int
+    lost_outcomes : int
         Nodes that it was sent to whole and that were lost before they had said that they run it.
-    unheard : dict
+    pending_outcomes : dict
         By what will be heard of it, the nodes that are silent and may still run it.
     node : str
         The last one tried.
-    answer : WholeAnswer or None
+    answer : CompleteAnswer or None
         The one to hand on.
     tries_end : bool
         Whether no further try may be made.
@@ -78,14 +78,14 @@
     ran: int = 0
     rejected: int = 0
     refused_repeats: int = 0
-    lost_unheard: int = 0
-    unheard: dict[asyncio.Task[Outcome], NodeId] = field(default_factory=dict)
+    lost_outcomes: int = 0
+    pending_outcomes: dict[asyncio.Task[Outcome], NodeId] = field(default_factory=dict)
     node: str = ""
-    answer: WholeAnswer | None = None
+    answer: CompleteAnswer | None = None
     tries_end: bool = False
     is_refused: bool = False
     _unknown: Lost | None = None
-    _failed: WholeAnswer | None = None
+    _failed: CompleteAnswer | None = None
     _soonest: float = float("inf")
     _code: ResultCode = ResultCode.NO_BACKEND_SERVER
 
@@ -96,30 +96,30 @@
 
     @property
     def _may_run(self) -> int:
-        return self.ran + self.lost_unheard + len(self.unheard)
+        return self.ran + self.lost_outcomes + len(self.pending_outcomes)
 
-    def take(self, node: NodeId, outcome: Outcome | Unheard, now: float) -> None:
+    def take(self, node: NodeId, outcome: Outcome | PendingOutcome, now: float) -> None:
         """Take in what became of a try."""
         if isinstance(outcome, Refused):
             self._refused(node, outcome)
             return
         self.left_out.add(node)
-        if isinstance(outcome, Unheard):
-            self.unheard[outcome.heard] = node
+        if isinstance(outcome, PendingOutcome):
+            self.pending_outcomes[outcome.heard] = node
             if self.call.arrival is Arrival.FIRST:
                 self.call.arrival = Arrival.UNHEARD
             self._goes_on(now)
         elif isinstance(outcome, Lost) and not outcome.admitted:
             self._unknown = outcome
-            self.lost_unheard += 1
+            self.lost_outcomes += 1
             self._goes_on(now)
         else:
             self._ran(outcome, now)
 
     def take_late(self, now: float) -> None:
         """Take in what has been heard of nodes that were silent."""
-        for task in [task for task in self.unheard if task.done()]:
-            node = self.unheard.pop(task)
+        for task in [task for task in self.pending_outcomes if task.done()]:
+            node = self.pending_outcomes.pop(task)
             outcome = task.result()
             if isinstance(outcome, Refused):
                 self._not_run_after_all()
@@ -127,7 +127,7 @@
 
     def withdraw(self) -> None:
         """Give up what is still unheard."""
-        for task in self.unheard:
+        for task in self.pending_outcomes:
             task.cancel()
 
     def conclude(self, min_retry_after: float) -> Outcome:
@@ -139,7 +139,7 @@
             return self._failed
         if self._unknown is not None:
             return self._unknown
-        if self.unheard:
+        if self.pending_outcomes:
             return Lost(ResultCode.ANSWER_LOST, admitted=False, is_silent=True)
         return Refused(self._code, max(min_retry_after, self._soonest))
 
@@ -168,7 +168,7 @@
         if refused.code in _FINAL_CODES:
             self.is_refused = self.tries_end = True
 
-    def _ran(self, outcome: WholeAnswer | Lost, now: float) -> None:
+    def _ran(self, outcome: CompleteAnswer | Lost, now: float) -> None:
         self.ran += 1
         if isinstance(outcome, Lost):
             self._unknown = outcome
--- a/src/hoisthook/mesh/store_readers.py
+++ b/src/hoisthook/mesh/store_readers.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING
 
-from hoisthook.membership.asker_tree import places_to_ask
-from hoisthook.membership.asker_tree import ranked
+from hoisthook.membership.poll_tree import poll_positions
+from hoisthook.membership.poll_tree import ranked
 
 if TYPE_CHECKING:
     from hoisthook.identity import DataCentre
@@ -57,7 +57,7 @@
             return readers
         usable = [view for view in order if not self._is_passed_over(view.peer.node, now)]
         place = next(place for place, view in enumerate(usable) if view.is_self)
-        return [usable[asked] for asked in places_to_ask(place, self._count)]
+        return [usable[asked] for asked in poll_positions(place, self._count)]
 
     def others_of_mine(self) -> list[PeerView]:
         """Return the other readers of this data centre; none if this node is no reader."""
--- a/src/hoisthook/mesh/sync_messages.py
+++ b/src/hoisthook/mesh/sync_messages.py
@@ -9,10 +9,10 @@
 
 from hoisthook.identity import DataCentre
 from hoisthook.identity import NodeId
-from hoisthook.membership.suspicion import Finding
+from hoisthook.membership.suspicion import ReachabilityReport
 from hoisthook.mesh.peer import Peer
 from hoisthook.retry.crash_evidence import CrashReport
-from hoisthook.traffic.configuration_parts import ConfigurationNews
+from hoisthook.traffic.configuration_parts import ConfigurationDelta
 
 Message = TypeVar("Message", bound=msgspec.Struct)
 
@@ -85,7 +85,7 @@
         Of its own directory.
     suspicions : int
         Revision up to which it has had the suspicions of ``source``.
-    findings : list of Finding
+    findings : list of ReachabilityReport
         Which nodes it could not reach lately, and which suspected ones it could.
     peers : list of Peer
         All nodes, where the asker tells them unasked; else empty.
@@ -109,7 +109,7 @@
     revision: int = 0
     digest: int = 0
     suspicions: int = 0
-    findings: list[Finding] = []
+    findings: list[ReachabilityReport] = []
     peers: list[Peer] = []
     evacuations: int = -1
     hold: float = 0.0
@@ -130,7 +130,7 @@
         Names the process that replies.
     revision : int
         Of its directory.
-    configuration : ConfigurationNews or None
+    configuration : ConfigurationDelta or None
         What the asker's configuration lacks.
     store_away : bool
         Whether the store does not answer the node that replies.
@@ -155,7 +155,7 @@
     peers: list[Peer] = []
     source: str = ""
     revision: int = 0
-    configuration: ConfigurationNews | None = None
+    configuration: ConfigurationDelta | None = None
     store_away: bool = False
     suspicions: int = 0
     suspected: list[NodeId] = []
--- a/src/hoisthook/node/call.py
+++ b/src/hoisthook/node/call.py
@@ -68,7 +68,7 @@
         return self.rest is None
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Return whether all of the body is here."""
         return self.rest is None
 
--- a/src/hoisthook/node/crash_guard.py
+++ b/src/hoisthook/node/crash_guard.py
@@ -4,11 +4,11 @@
 
 from typing import TYPE_CHECKING
 
-from hoisthook.beside.crash_watch import CrashWatch
-from hoisthook.beside.end_watch import EndWatch
-from hoisthook.beside.end_watch import LostRun
 from hoisthook.identity import InstanceId
 from hoisthook.identity import ServiceName
+from hoisthook.local_backend.crash_monitor import CrashMonitor
+from hoisthook.local_backend.exit_detector import ExitDetector
+from hoisthook.local_backend.exit_detector import LostRequest
 from hoisthook.retry.crash_evidence import CrashEvidence
 
 if TYPE_CHECKING:
@@ -19,8 +19,8 @@
     from hoisthook.identity import Incarnation
     from hoisthook.node.call import Call
     from hoisthook.node.call import Refused
-    from hoisthook.port.belief_log import BeliefLog
     from hoisthook.port.clock import Clock
+    from hoisthook.port.event_sink import EventSink
 
 
 class CrashGuard:
@@ -37,7 +37,7 @@
         Of this node, in the names of the lives that it sees.
     clock : Clock
         Monotonic.
-    log : BeliefLog
+    log : EventSink
         Gets a line for each end and for work that is refused.
 
     Attributes
@@ -47,12 +47,14 @@
     """
 
     def __init__(
-        self, pool: ClientPool, incarnation: Incarnation, clock: Clock, log: BeliefLog
+        self, pool: ClientPool, incarnation: Incarnation, clock: Clock, log: EventSink
     ) -> None:
         self.evidence = CrashEvidence(log)
-        self._watch = CrashWatch(ServiceName(""), self.evidence, clock)
-        self._ends = EndWatch(lambda: self._address, pool, lambda: self._takes_work, clock, log)
-        self._ends.on_ended(self._watch.ended)
+        self._crash_monitor = CrashMonitor(ServiceName(""), self.evidence, clock)
+        self._exit_detector = ExitDetector(
+            lambda: self._address, pool, lambda: self._takes_work, clock, log
+        )
+        self._exit_detector.on_ended(self._crash_monitor.ended)
         self._clock = clock
         self._incarnation = incarnation
         self._address: Address = ("", 0)
@@ -67,34 +69,36 @@
 
     def on_reported(self, listener: Callable[[], None]) -> None:
         """Have ``listener`` called once an end has been held against work."""
-        self._watch.on_reported(listener)
+        self._crash_monitor.on_reported(listener)
 
     def close(self) -> None:
         """Stop what is under way."""
-        self._ends.close()
+        self._exit_detector.close()
 
     def announced(self, service: str, address: Address, uptime: float, *, takes_work: bool) -> None:
         """Take in an announcement of the backend server."""
-        self._watch.service = ServiceName(service)
+        self._crash_monitor.service = ServiceName(service)
         self._address = address
         if uptime < self._uptime:
-            self._ends.replaced()
+            self._exit_detector.replaced()
             self._life += 1
         self._uptime = uptime
         self._takes_work = takes_work
 
     def refuse(self, call: Call) -> Refused | None:
         """Refuse a call for work under which several backend servers ended."""
-        return self._watch.refuse(call)
+        return self._crash_monitor.refuse(call)
 
     def lost(self, call: Call, instance: InstanceId) -> None:
         """Take in that the connection broke while a call ran."""
-        self._ends.broken(LostRun(call.request_id, call.work, instance, self._clock.now()))
+        self._exit_detector.broken(
+            LostRequest(call.request_id, call.work, instance, self._clock.now())
+        )
 
     def answered(self, instance: InstanceId, sent_at: float) -> None:
         """Take in that a life answered what was sent to it at some moment."""
-        self._ends.answered(instance, sent_at)
+        self._exit_detector.answered(instance, sent_at)
 
     def ran_well(self, call: Call) -> None:
         """Take in that a call has run to a good end."""
-        self._watch.ran_well(call)
+        self._crash_monitor.ran_well(call)
--- a/src/hoisthook/node/dispatch_progress.py
+++ b/src/hoisthook/node/dispatch_progress.py
@@ -12,7 +12,7 @@
 from hoisthook.result_code import ResultCode
 
 if TYPE_CHECKING:
-    from hoisthook.node.beside import RunResult
+    from hoisthook.node.local_backend import RunResult
 
 DIRECT_TRIES = 2
 _OWN_WORD = frozenset({ResultCode.CALLER_OVER_SHARE, ResultCode.DEADLINE_PASSED})
--- a/src/hoisthook/node/dispatcher.py
+++ b/src/hoisthook/node/dispatcher.py
@@ -19,9 +19,9 @@
     from collections.abc import Coroutine
 
     from hoisthook.membership.member_table import MemberTable
-    from hoisthook.node.beside import RunResult
     from hoisthook.node.call import Call
     from hoisthook.node.hop_client import HopClient
+    from hoisthook.node.local_backend import RunResult
     from hoisthook.port.clock import Clock
     from hoisthook.routing.candidate import Candidate
     from hoisthook.routing.router import Router
--- a/src/hoisthook/node/hedge_race.py
+++ b/src/hoisthook/node/hedge_race.py
@@ -13,7 +13,7 @@
     from collections.abc import Coroutine
 
     from hoisthook.node.attempt import Attempt
-    from hoisthook.node.beside import RunResult
+    from hoisthook.node.local_backend import RunResult
 
     StartHedge = Callable[[], tuple[Attempt, Coroutine[object, object, RunResult]] | None]
 
--- a/src/hoisthook/node/hop_client.py
+++ b/src/hoisthook/node/hop_client.py
@@ -24,9 +24,9 @@
     from hoisthook.adapter.http.message import AnswerHead
     from hoisthook.adapter.http.message import Header
     from hoisthook.node.attempt import Attempt
-    from hoisthook.node.beside import Beside
-    from hoisthook.node.beside import RunResult
     from hoisthook.node.call import Call
+    from hoisthook.node.local_backend import LocalBackend
+    from hoisthook.node.local_backend import RunResult
     from hoisthook.port.clock import Clock
     from hoisthook.routing.candidate import Candidate
 
@@ -43,7 +43,7 @@
     ----------
     pool : ClientPool
         Connections to other nodes.
-    beside : Beside
+    local_backend : LocalBackend
         This node's own backend server.
     clock : Clock
         Monotonic, the loop's own.
@@ -52,10 +52,10 @@
     """
 
     def __init__(
-        self, pool: ClientPool, beside: Beside, clock: Clock, incarnation: Incarnation
+        self, pool: ClientPool, local_backend: LocalBackend, clock: Clock, incarnation: Incarnation
     ) -> None:
         self._pool = pool
-        self._beside = beside
+        self._local_backend = local_backend
         self._clock = clock
         self._incarnation = incarnation
 
@@ -73,8 +73,8 @@
 
         try:
             if candidate.local:
-                result = await self._beside.run(call, attempt)
-                view.reported(self._beside.report(), self._clock.now())
+                result = await self._local_backend.run(call, attempt)
+                view.reported(self._local_backend.report(), self._clock.now())
             else:
                 result = await self._run_remote(candidate, call, attempt)
         except BaseException:
--- a/src/hoisthook/node/hop_server.py
+++ b/src/hoisthook/node/hop_server.py
@@ -27,7 +27,7 @@
     from hoisthook.identity import Incarnation
     from hoisthook.membership.pause_guard import PauseGuard
     from hoisthook.node.answer import Answer
-    from hoisthook.node.beside import Beside
+    from hoisthook.node.local_backend import LocalBackend
     from hoisthook.port.clock import Clock
     from hoisthook.port.decision_log import DecisionLog
 
@@ -40,7 +40,7 @@
 
     Parameters
     ----------
-    beside : Beside
+    local_backend : LocalBackend
         The backend server's side.
     configuration : ConfigurationState
         The services' limits.
@@ -56,14 +56,14 @@
 
     def __init__(
         self,
-        beside: Beside,
+        local_backend: LocalBackend,
         configuration: ConfigurationState,
         guard: PauseGuard,
         clock: Clock,
         incarnation: Incarnation,
         log: DecisionLog,
     ) -> None:
-        self._beside = beside
+        self._local_backend = local_backend
         self._configuration = configuration
         self._guard = guard
         self._clock = clock
@@ -96,7 +96,7 @@
             self._refuse(exchange, call)
             return
         attempt = Attempt(header.number, may_wait=header.may_wait, hedge=header.hedge)
-        await self._answer(exchange, call, await self._beside.run(call, attempt))
+        await self._answer(exchange, call, await self._local_backend.run(call, attempt))
 
     def _refuse_early(self, header: wire.AttemptHeader, now: float) -> Refused | None:
         if self._guard.check(now):
@@ -144,7 +144,7 @@
         self, exchange: ServerExchange, call: Call, result: Answer | Refused | Lost
     ) -> None:
         if isinstance(result, Refused):
-            self._log.refused(call, self._beside.backend_server, result.code)
+            self._log.refused(call, self._local_backend.backend_server, result.code)
             self._refuse(exchange, result)
             return
         if isinstance(result, Lost):
@@ -161,4 +161,4 @@
         refuse(exchange, refused.code, retry_after=refused.retry_after, extra=[self._load()])
 
     def _load(self) -> Header:
-        return wire.LOAD, self._beside.report().encode()
+        return wire.LOAD, self._local_backend.report().encode()
--- a/src/hoisthook/node/key_desk.py
+++ b/src/hoisthook/node/idempotency_handler.py
@@ -56,7 +56,7 @@
 _NEW_KEY_CODES = frozenset({ResultCode.KEY_REQUIRED, ResultCode.KEY_MALFORMED})
 
 
-class KeyDesk:
+class IdempotencyHandler:
     """Runs non-repeatable calls at most once a key.
 
     The incarnation that issued a key is its only holder. Any other node passes
--- a/src/hoisthook/node/entry.py
+++ b/src/hoisthook/node/ingress.py
@@ -27,7 +27,7 @@
     from hoisthook.membership.pause_guard import PauseGuard
     from hoisthook.node.dispatcher import Dispatched
     from hoisthook.node.dispatcher import Dispatcher
-    from hoisthook.node.key_desk import KeyDesk
+    from hoisthook.node.idempotency_handler import IdempotencyHandler
     from hoisthook.port.clock import Clock
     from hoisthook.port.decision_log import DecisionLog
 
@@ -36,14 +36,14 @@
 MAX_NAME_BYTES = 128
 
 
-class Entry:
+class Ingress:
     """Checks a request, has it run, and answers with how that came about.
 
     Parameters
     ----------
     dispatcher : Dispatcher
         Runs calls.
-    keys : KeyDesk
+    keys : IdempotencyHandler
         Handles idempotency keys.
     configuration : ConfigurationState
         The services.
@@ -60,7 +60,7 @@
     def __init__(
         self,
         dispatcher: Dispatcher,
-        keys: KeyDesk,
+        keys: IdempotencyHandler,
         configuration: ConfigurationState,
         guard: PauseGuard,
         clock: Clock,
--- a/src/hoisthook/node/beside.py
+++ b/src/hoisthook/node/local_backend.py
@@ -42,7 +42,7 @@
 RunResult = Answer | Refused | Lost
 
 
-class Beside:
+class LocalBackend:
     """Admits calls to one backend server and runs them there.
 
     Parameters
@@ -248,7 +248,7 @@
             late = self._clock.now() >= call.deadline
             failed = None if late or attempt.abandoned else True
             self._end(ticket, connection, keep=False, failed=failed)
-            if failed and call.is_whole:
+            if failed and call.is_complete:
                 self._crashes.lost(call, instance)
             return Lost(ResultCode.DEADLINE_DURING_RUN) if late else head
         self._crashes.answered(instance, now)
@@ -265,7 +265,7 @@
         def finish(whole: bool) -> None:
             exchanger.stop()
             self.finished += 1
-            if whole and not failed and call.is_whole:
+            if whole and not failed and call.is_complete:
                 self._crashes.ran_well(call)
             self._end(ticket, connection, keep=whole, failed=failed)
 
--- a/src/hoisthook/node/node.py
+++ b/src/hoisthook/node/node.py
@@ -16,9 +16,9 @@
 from hoisthook.adapter.operator_service import OperatorService
 from hoisthook.admission.concurrency_share import ConcurrencyShare
 from hoisthook.background_tasks import BackgroundTasks
-from hoisthook.configuration.configuration_desk import ConfigurationDesk
 from hoisthook.configuration.configuration_follower import ConfigurationFollower
 from hoisthook.configuration.configuration_state import ConfigurationState
+from hoisthook.configuration.configuration_writer import ConfigurationWriter
 from hoisthook.idempotency.key_register import KeyRegister
 from hoisthook.identity import Incarnation
 from hoisthook.identity import NodeId
@@ -33,13 +33,13 @@
 from hoisthook.membership.pause_guard import PauseGuard
 from hoisthook.membership.reader_choice import is_reader
 from hoisthook.node import wire
-from hoisthook.node.beside import Beside
 from hoisthook.node.crash_guard import CrashGuard
 from hoisthook.node.dispatcher import Dispatcher
-from hoisthook.node.entry import Entry
 from hoisthook.node.hop_client import HopClient
 from hoisthook.node.hop_server import HopServer
-from hoisthook.node.key_desk import KeyDesk
+from hoisthook.node.idempotency_handler import IdempotencyHandler
+from hoisthook.node.ingress import Ingress
+from hoisthook.node.local_backend import LocalBackend
 from hoisthook.node.node_metrics import NodeMetrics
 from hoisthook.node.node_report import NodeReport
 from hoisthook.node.operators_endpoint import OperatorsEndpoint
@@ -178,7 +178,7 @@
         """
         await self.gossip.leave()
         await asyncio.sleep(FAREWELL_SECONDS)
-        self._entry.stopping = True
+        self._ingress.stopping = True
         self._hop_server.stopping = True
         timeout = self.settings.shutdown.drain_seconds
         ended = await asyncio.gather(self._callers.close(timeout), self._peer_server.close(timeout))
@@ -263,7 +263,7 @@
         self.follower.on_change = self._configuration_changed
         self.gossip.configuration_offset = lambda: self.state.offset
         self.gossip.on_peer_offset = self.follower.peer_offset
-        self._desk = ConfigurationDesk(self.state, self.follower, self._log)
+        self._configuration_writer = ConfigurationWriter(self.state, self.follower, self._log)
 
     def _make_path(self) -> None:
         routing = self.settings.routing
@@ -273,29 +273,34 @@
         )
         self._crashes.on_reported(lambda: self._announcing.start(self.gossip.announce()))
         self.gossip.crashes = self._crashes.evidence
-        self.beside = Beside(
+        self.local_backend = LocalBackend(
             self._backend_pool,
             self._crashes,
             self._clock,
             self._randomness,
             admission=routing.admission,
         )
-        self.beside.share_of = self._share.of
+        self.local_backend.share_of = self._share.of
         self._measurer = Measurer(
-            self.beside, self._backend_pool, MeasureBudget(0.0, self._clock.now()), self._clock
+            self.local_backend,
+            self._backend_pool,
+            MeasureBudget(0.0, self._clock.now()),
+            self._clock,
         )
         self._router = Router(self.table, make_policy(routing.policy, self._randomness))
-        client = HopClient(self._hop_pool, self.beside, self._clock, self.incarnation)
+        client = HopClient(self._hop_pool, self.local_backend, self._clock, self.incarnation)
         self._dispatcher = Dispatcher(
             self._router, client, self.table, self._clock, hedging=is_product
         )
         node = NodeId(self.settings.node.id)
         self.register = KeyRegister(node, self.incarnation, self._clock, self._randomness)
-        self._key_desk = KeyDesk(self.register, self.state, self.table, self._hop_pool, self._clock)
+        self._idempotency_handler = IdempotencyHandler(
+            self.register, self.state, self.table, self._hop_pool, self._clock
+        )
         self.metrics = NodeMetrics(self._decisions)
-        self._entry = Entry(
+        self._ingress = Ingress(
             self._dispatcher,
-            self._key_desk,
+            self._idempotency_handler,
             self.state,
             self.guard,
             self._clock,
@@ -303,13 +308,13 @@
             self.metrics,
         )
         self._hop_server = HopServer(
-            self.beside, self.state, self.guard, self._clock, self.incarnation, self.metrics
+            self.local_backend, self.state, self.guard, self._clock, self.incarnation, self.metrics
         )
         self._report = NodeReport(
             self.settings.node.id,
             self.incarnation,
             self.metrics,
-            self.beside,
+            self.local_backend,
             self._measurer.budget,
             self.state,
             self.follower,
@@ -320,16 +325,18 @@
         )
         self._operators = OperatorsEndpoint(
             parse_address(self.settings.listen.operators),
-            OperatorService(self._desk, self.state, self.table, self._report.status),
+            OperatorService(
+                self._configuration_writer, self.state, self.table, self._report.status
+            ),
         )
         self._own_record = OwnRecord(
-            self.beside, self.state, self.table, self.gossip, self._clock, self._decisions
+            self.local_backend, self.state, self.table, self.gossip, self._clock, self._decisions
         )
         self._peer_app = make_peer_app(self.gossip, self.table, self.follower)
         self._announcement_app = make_announcement_app(self.announced, self._announcement_status)
 
     async def _serve_caller(self, exchange: ServerExchange) -> None:
-        await self._entry.handle(exchange)
+        await self._ingress.handle(exchange)
 
     async def _serve_peer(self, exchange: ServerExchange) -> None:
         head = exchange.head
@@ -343,14 +350,14 @@
         elif holder.decode("latin-1") != self.incarnation:
             refuse(exchange, ResultCode.HOLDER_GONE, ran=Ran.UNKNOWN)
         else:
-            await self._entry.handle(exchange)
+            await self._ingress.handle(exchange)
 
     async def _serve_announcement(self, exchange: ServerExchange) -> None:
         await serve_asgi(self._announcement_app, exchange)
 
     def announced(self, message: Announcement) -> bool:
         """Take in an announcement; False if another backend server is here already."""
-        taken = self.beside.announced(
+        taken = self.local_backend.announced(
             message.backend_server,
             message.service,
             parse_address(message.address),
@@ -373,13 +380,13 @@
         )
 
     def _announcement_status(self) -> dict[str, object]:
-        return {"phase": self.beside.state.phase.value, "node": self.settings.node.id}
+        return {"phase": self.local_backend.state.phase.value, "node": self.settings.node.id}
 
     def _configuration_changed(self) -> None:
-        is_drained = self.beside.backend_server in self.state.drained
+        is_drained = self.local_backend.backend_server in self.state.drained
         is_evacuated = self.table.me.data_centre in self.state.evacuated
-        self.beside.set_operator_drain(is_drained or is_evacuated)
-        spec = self.state.service_by_name.get(self.beside.service)
+        self.local_backend.set_operator_drain(is_drained or is_evacuated)
+        spec = self.state.service_by_name.get(self.local_backend.service)
         self._measurer.budget.rate = 0.0 if spec is None else spec.measure_per_second
         self._own_record.refresh()
 
@@ -390,8 +397,8 @@
             self.guard.check(now)
             if self.guard.pauses != pauses:
                 self._decisions.event("paused")
-            self.beside.tick()
-            self._share.observe(self.table.serving(self.beside.service), now)
+            self.local_backend.tick()
+            self._share.observe(self.table.serving(self.local_backend.service), now)
             self._own_record.refresh()
             self._decisions.flush()
             await asyncio.sleep(TICK_SECONDS)
--- a/src/hoisthook/node/node_report.py
+++ b/src/hoisthook/node/node_report.py
@@ -16,7 +16,7 @@
     from hoisthook.membership.gossip import Gossip
     from hoisthook.membership.member_table import MemberTable
     from hoisthook.membership.pause_guard import PauseGuard
-    from hoisthook.node.beside import Beside
+    from hoisthook.node.local_backend import LocalBackend
     from hoisthook.node.node_metrics import NodeMetrics
 
 
@@ -27,7 +27,7 @@
     node: str
     incarnation: Incarnation
     metrics: NodeMetrics
-    beside: Beside
+    local_backend: LocalBackend
     budget: MeasureBudget
     state: ConfigurationState
     follower: ConfigurationFollower
@@ -51,9 +51,9 @@
     def gauges(self) -> dict[str, float]:
         """Return present values, by metric name."""
         return {
-            "running": self.beside.gate.running,
-            "waiting": self.beside.gate.waiting,
-            "limit": self.beside.gate.limit,
+            "running": self.local_backend.gate.running,
+            "waiting": self.local_backend.gate.waiting,
+            "limit": self.local_backend.gate.limit,
             "members": len(self.table),
             "configuration.offset": self.state.offset,
             "configuration.log_reachable": int(self.follower.log_reachable),
@@ -63,15 +63,15 @@
 
     def status(self) -> pb.NodeStatusReply:
         """Return the answer to the operators' call."""
-        gate = self.beside.gate
+        gate = self.local_backend.gate
         return pb.NodeStatusReply(
             node=self.node,
             incarnation=self.incarnation,
             configuration_offset=self.state.offset,
             members=len(self.table),
             log_reachable=self.follower.log_reachable,
-            backend_server=self.beside.backend_server,
-            backend_server_phase=self.beside.state.phase.value,
+            backend_server=self.local_backend.backend_server,
+            backend_server_phase=self.local_backend.state.phase.value,
             running=gate.running,
             waiting=gate.waiting,
             limit=gate.limit,
--- a/src/hoisthook/node/own_record.py
+++ b/src/hoisthook/node/own_record.py
@@ -12,7 +12,7 @@
     from hoisthook.configuration.configuration_state import ConfigurationState
     from hoisthook.membership.gossip import Gossip
     from hoisthook.membership.member_table import MemberTable
-    from hoisthook.node.beside import Beside
+    from hoisthook.node.local_backend import LocalBackend
     from hoisthook.port.clock import Clock
 
 
@@ -21,7 +21,7 @@
 
     Parameters
     ----------
-    beside : Beside
+    local_backend : LocalBackend
         The backend server's side.
     state : ConfigurationState
         Tells whether its service's limits are known.
@@ -37,14 +37,14 @@
 
     def __init__(
         self,
-        beside: Beside,
+        local_backend: LocalBackend,
         state: ConfigurationState,
         table: MemberTable,
         gossip: Gossip,
         clock: Clock,
         decisions: JsonDecisionLog,
     ) -> None:
-        self._beside = beside
+        self._local_backend = local_backend
         self._state = state
         self._table = table
         self._gossip = gossip
@@ -54,27 +54,34 @@
 
     def refresh(self) -> None:
         """Announce what has changed, if anything has."""
-        beside = self._beside
+        local_backend = self._local_backend
         me = self._table.me
         if me.status is MemberStatus.LEFT:
             return
         # A node that does not know the service's limits yet cannot keep them.
-        takes_work = beside.takes_work() and beside.service in self._state.service_by_name
+        takes_work = (
+            local_backend.takes_work() and local_backend.service in self._state.service_by_name
+        )
         told = (me.backend_server, me.service, me.slots, me.takes_work)
-        if told == (beside.backend_server, beside.service, beside.gate.slots, takes_work):
+        if told == (
+            local_backend.backend_server,
+            local_backend.service,
+            local_backend.gate.slots,
+            takes_work,
+        ):
             return
         self._table.update_me(
             self._clock.now(),
-            backend_server=beside.backend_server,
-            service=beside.service,
-            slots=beside.gate.slots,
+            backend_server=local_backend.backend_server,
+            service=local_backend.service,
+            slots=local_backend.gate.slots,
             takes_work=takes_work,
         )
         self._decisions.event(
             "backend_server",
-            backend_server=beside.backend_server,
-            service=beside.service,
-            phase=beside.state.phase.value,
+            backend_server=local_backend.backend_server,
+            service=local_backend.service,
+            phase=local_backend.state.phase.value,
             takes_work=takes_work,
         )
         task = asyncio.get_running_loop().create_task(self._gossip.announce())
--- a/src/hoisthook/port/belief_log.py
+++ b/src/hoisthook/port/event_sink.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 
-class BeliefLog(Protocol):
+class EventSink(Protocol):
     """The part that all logs of a node have in common."""
 
     def event(self, name: str, **fields: object) -> None:
--- a/src/hoisthook/retry/caller_share.py
+++ b/src/hoisthook/retry/caller_share.py
@@ -7,7 +7,7 @@
 
 if TYPE_CHECKING:
     from hoisthook.identity import RouteName
-    from hoisthook.retry.idle_share import IdleSighting
+    from hoisthook.retry.idle_tracker import IdleObservation
 
 # Of what is estimated, what is counted.
 COUNTED_SHARE = 0.9
@@ -38,13 +38,13 @@
     def __init__(self) -> None:
         self._seen_by_route: dict[RouteName, _Seen] = {}
 
-    def learn(self, route: RouteName, sighting: IdleSighting) -> None:
+    def learn(self, route: RouteName, idle_observation: IdleObservation) -> None:
         """Take in what a request of a route found where it began."""
-        if sighting.share <= 0:
+        if idle_observation.share <= 0:
             return
         seen = self._seen_by_route.setdefault(route, _Seen())
-        seen.expected += sighting.share
-        seen.idle += sighting.is_idle
+        seen.expected += idle_observation.share
+        seen.idle += idle_observation.is_idle
         if seen.expected > MAX_EXPECTED:
             seen.expected /= 2.0
             seen.idle /= 2.0
--- a/src/hoisthook/retry/crash_evidence.py
+++ b/src/hoisthook/retry/crash_evidence.py
@@ -19,7 +19,7 @@
     from collections.abc import Iterator
     from collections.abc import Sequence
 
-    from hoisthook.port.belief_log import BeliefLog
+    from hoisthook.port.event_sink import EventSink
 
 # Ends of different incarnations after which work is refused. What runs beside it in a backend
 # server that ends is seen there too: it shares one end, seldom two, and a third only by chance.
@@ -101,11 +101,11 @@
 
     Parameters
     ----------
-    log : BeliefLog
+    log : EventSink
         Gets a line for each work that is refused from now on, or no more.
     """
 
-    def __init__(self, log: BeliefLog) -> None:
+    def __init__(self, log: EventSink) -> None:
         self._log = log
         self._by_service: dict[ServiceName, dict[WorkId, _Suspect]] = {}
         # Told with each question between nodes, and seldom different.
--- a/src/hoisthook/retry/idle_share.py
+++ b/src/hoisthook/retry/idle_tracker.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class IdleSighting:
+class IdleObservation:
     """What a request found beside the node that took it.
 
     Attributes
@@ -28,10 +28,10 @@
     is_idle: bool = False
 
 
-UNKNOWN = IdleSighting()
+UNKNOWN = IdleObservation()
 
 
-class IdleShare:
+class IdleTracker:
     """Follows whether anything runs beside.
 
     Parameters
@@ -57,13 +57,13 @@
         """Take in that the backend server runs nothing, so nothing of a predecessor either."""
         self._known_from = min(self._known_from, now)
 
-    def sighting(self, now: float) -> IdleSighting:
+    def idle_observation(self, now: float) -> IdleObservation:
         """Return what a request finds that comes now."""
         self._follow(now)
         if now < self._known_from:
             return UNKNOWN
         share = self._idle_seconds / self._seconds if self._seconds > 0 else 0.0
-        return IdleSighting(share, self._is_idle)
+        return IdleObservation(share, self._is_idle)
 
     def _follow(self, now: float) -> None:
         kept = math.exp(-(now - self._at) / FOLLOWING_SECONDS)
--- a/src/hoisthook/routing/try_yield.py
+++ b/src/hoisthook/routing/admission_rate.py
@@ -30,7 +30,7 @@
         self.at = now
 
 
-class TryYield:
+class AdmissionRate:
     """Tells whether a request that one node has refused is worth asking the next.
 
     Load pattern: all backend servers of a service turn half of their work away, so that far more
--- a/src/hoisthook/routing/link_pace.py
+++ b/src/hoisthook/routing/link_pacer.py
@@ -13,7 +13,7 @@
 BITS_PER_MEGABIT = 1_000_000
 
 
-class LinkPace:
+class LinkPacer:
     """Spreads large answers over time, so that short ones do not wait behind them.
 
     Load pattern: several answers of up to half a megabyte leave over a link of 12 Mbit/s at once.
--- a/src/hoisthook/teams/quota_desk.py
+++ b/src/hoisthook/teams/quota_coordinator.py
@@ -10,7 +10,6 @@
 
 from hoisthook.background_tasks import BackgroundTasks
 from hoisthook.result_code import ResultCode
-from hoisthook.teams.away_nodes import AwayNodes
 from hoisthook.teams.held_tokens import HeldTokens
 from hoisthook.teams.quota_ledger import QuotaLedger
 from hoisthook.teams.quota_ledger import Share
@@ -20,6 +19,7 @@
 from hoisthook.teams.quota_verdict import OverQuota
 from hoisthook.teams.quota_verdict import Token
 from hoisthook.teams.team import Quota
+from hoisthook.teams.unreachable_nodes import UnreachableNodes
 
 if TYPE_CHECKING:
     from hoisthook.identity import DataCentre
@@ -27,7 +27,7 @@
     from hoisthook.port.clock import Clock
     from hoisthook.port.event_log import EventLog
     from hoisthook.teams.quota_bounds import QuotaBounds
-    from hoisthook.teams.quota_owners import Seat
+    from hoisthook.teams.quota_owners import QuotaPeer
 
 # Nobody lends while all are short, so the next to ask waits; who asks at once gets the same answer.
 DRY_SECONDS = 0.1
@@ -50,11 +50,11 @@
 class QuotaTransport(Protocol):
     """Asks other nodes."""
 
-    async def ask(self, seat: Seat, question: QuotaQuestion) -> QuotaAnswer | None:
+    async def ask(self, quota_peer: QuotaPeer, question: QuotaQuestion) -> QuotaAnswer | None:
         """Return a node's answer, or None if it gave none."""
 
 
-class QuotaDesk:
+class QuotaCoordinator:
     """Gets a token for each request of a team, and gives out those of the teams it owns.
 
     Each data centre has a part of a team's quota, which one of its nodes gives out. Parts move by
@@ -92,7 +92,7 @@
         self._ledger = QuotaLedger(bounds, clock.now())
         self._held = HeldTokens(bounds.lease_seconds)
         self._owners = QuotaOwners(())
-        self._away = AwayNodes()
+        self._unreachable_nodes = UnreachableNodes()
         self._tasks = BackgroundTasks()
         self._giving_back: set[TeamName] = set()
         # By team and rank: others may lend for the urgent what they keep from the rest.
@@ -167,11 +167,11 @@
 
     async def _ask_first(self, question: QuotaQuestion) -> QuotaAnswer | None:
         """Ask who gives out the quota here, and who stands in for it."""
-        for seat in self._reachable(question.team, self._data_centre):
-            if seat.is_self:
+        for quota_peer in self._reachable(question.team, self._data_centre):
+            if quota_peer.is_self:
                 answer: QuotaAnswer | None = await self._give_out(question)
             else:
-                answer = await self._ask(seat, question)
+                answer = await self._ask(quota_peer, question)
             if answer is not None and answer.knows:
                 return answer
         return None
@@ -180,8 +180,8 @@
         """Give out tokens here, unless a node is there that goes before this one."""
         if self._is_alone():
             return QuotaAnswer(0.0, knows=False)
-        for seat in self._before_me(question.team):
-            answer = await self._ask(seat, question)
+        for quota_peer in self._before_me(question.team):
+            answer = await self._ask(quota_peer, question)
             if answer is not None and answer.knows:
                 return answer
         team = question.team
@@ -227,8 +227,8 @@
             question.team, question.quota, missing, is_lending=True, rank=question.rank
         )
         got = 0.0
-        for seat in self._lenders(question.team):
-            answer = await self._ask(seat, asked)
+        for quota_peer in self._lenders(question.team):
+            answer = await self._ask(quota_peer, asked)
             if answer is None or answer.tokens <= 0:
                 continue
             self._ledger.borrowed(question.team, share, answer.tokens, self._clock.now())
@@ -237,36 +237,40 @@
                 return
         self._dry_until[question.team, question.rank] = self._clock.now() + DRY_SECONDS
 
-    def _before_me(self, team: TeamName) -> list[Seat]:
+    def _before_me(self, team: TeamName) -> list[QuotaPeer]:
         """Return who can be reached and goes before this node in its data centre."""
         reachable = self._reachable(team, self._data_centre)
-        return list(itertools.takewhile(lambda seat: not seat.is_self, reachable))
+        return list(itertools.takewhile(lambda quota_peer: not quota_peer.is_self, reachable))
 
-    def _lenders(self, team: TeamName) -> list[Seat]:
+    def _lenders(self, team: TeamName) -> list[QuotaPeer]:
         """Return whom to ask for tokens in other data centres."""
-        seats: list[Seat] = []
+        quota_peers: list[QuotaPeer] = []
         for data_centre in self._owners.others(team, self._data_centre)[:MAX_LENDERS]:
-            seats.extend(self._reachable(team, data_centre)[:1])
-        return seats
+            quota_peers.extend(self._reachable(team, data_centre)[:1])
+        return quota_peers
 
-    def _reachable(self, team: TeamName, data_centre: DataCentre) -> list[Seat]:
+    def _reachable(self, team: TeamName, data_centre: DataCentre) -> list[QuotaPeer]:
         ranked = self._owners.ranked(team, data_centre)
-        for seat in ranked:
-            if self._away.is_probe_due(seat.peer.node, self._clock.now()):
-                self._tasks.start(self._probe(seat, team))
-        return [seat for seat in ranked if seat.peer.node not in self._away]
-
-    async def _probe(self, seat: Seat, team: TeamName) -> None:
-        await self._ask(seat, QuotaQuestion(team, Quota(0.0, 0.0), 0.0))
-
-    async def _ask(self, seat: Seat, question: QuotaQuestion) -> QuotaAnswer | None:
-        answer = await self._transport.ask(seat, question)
-        node = seat.peer.node
+        for quota_peer in ranked:
+            if self._unreachable_nodes.is_probe_due(quota_peer.peer.node, self._clock.now()):
+                self._tasks.start(self._probe(quota_peer, team))
+        return [
+            quota_peer
+            for quota_peer in ranked
+            if quota_peer.peer.node not in self._unreachable_nodes
+        ]
+
+    async def _probe(self, quota_peer: QuotaPeer, team: TeamName) -> None:
+        await self._ask(quota_peer, QuotaQuestion(team, Quota(0.0, 0.0), 0.0))
+
+    async def _ask(self, quota_peer: QuotaPeer, question: QuotaQuestion) -> QuotaAnswer | None:
+        answer = await self._transport.ask(quota_peer, question)
+        node = quota_peer.peer.node
         if answer is None:
-            self._away.silent(node, self._clock.now())
+            self._unreachable_nodes.silent(node, self._clock.now())
             return None
-        self._away.answered(node)
-        if seat.peer.data_centre == self._data_centre:
+        self._unreachable_nodes.answered(node)
+        if quota_peer.peer.data_centre == self._data_centre:
             self.heard()
         return answer
 
--- a/src/hoisthook/teams/quota_ledger.py
+++ b/src/hoisthook/teams/quota_ledger.py
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Given:
+class Grant:
     """Tokens for requests.
 
     Attributes
@@ -120,7 +120,7 @@
 
     def take(
         self, team: TeamName, share: Share, wanted: float, now: float, *, rank: int = 0
-    ) -> Given:
+    ) -> Grant:
         """Give out whole tokens for requests of a rank, as far as they are not kept for others."""
         account = self._account(team, share, now)
         room = self._room(account, share, rank, now)
@@ -131,7 +131,7 @@
         account.lent -= lent
         account.bucket.take(whole - lent, now)
         account.given.give(whole - lent, rank, now)
-        return Given(int(whole), is_lent=lent > 0)
+        return Grant(int(whole), is_lent=lent > 0)
 
     def asked(self, team: TeamName, share: Share, now: float, *, rank: int) -> None:
         """Note a request of a rank, whatever becomes of it."""
--- a/src/hoisthook/teams/quota_owners.py
+++ b/src/hoisthook/teams/quota_owners.py
@@ -20,7 +20,7 @@
     from hoisthook.teams.team import Quota
 
 
-class Place(Protocol):
+class NodeLocation(Protocol):
     """A node and where it stands."""
 
     @property
@@ -32,14 +32,14 @@
         """Return its data centre."""
 
 
-class Seat(Protocol):
+class QuotaPeer(Protocol):
     """A node that may be asked."""
 
     address: Address
     is_self: bool
 
     @property
-    def peer(self) -> Place:
+    def peer(self) -> NodeLocation:
         """Return who it is."""
 
 
@@ -57,25 +57,27 @@
 
     Parameters
     ----------
-    seats : iterable of Seat
+    quota_peers : iterable of QuotaPeer
         All nodes that are known.
     """
 
-    def __init__(self, seats: Iterable[Seat]) -> None:
-        self._by_data_centre: dict[DataCentre, list[Seat]] = defaultdict(list)
+    def __init__(self, quota_peers: Iterable[QuotaPeer]) -> None:
+        self._by_data_centre: dict[DataCentre, list[QuotaPeer]] = defaultdict(list)
         self._count = 0
-        for seat in seats:
-            self._by_data_centre[seat.peer.data_centre].append(seat)
+        for quota_peer in quota_peers:
+            self._by_data_centre[quota_peer.peer.data_centre].append(quota_peer)
             self._count += 1
-        self._ranked: dict[tuple[TeamName, DataCentre], list[Seat]] = {}
+        self._ranked: dict[tuple[TeamName, DataCentre], list[QuotaPeer]] = {}
 
-    def ranked(self, team: TeamName, data_centre: DataCentre) -> list[Seat]:
+    def ranked(self, team: TeamName, data_centre: DataCentre) -> list[QuotaPeer]:
         """Return the nodes of a data centre that may give out a team's quota, first to last."""
         key = (team, data_centre)
         found = self._ranked.get(key)
         if found is None:
-            seats = self._by_data_centre.get(data_centre, [])
-            found = sorted(seats, key=lambda seat: _hash(team, seat.peer.node))[:STAND_INS]
+            quota_peers = self._by_data_centre.get(data_centre, [])
+            found = sorted(quota_peers, key=lambda quota_peer: _hash(team, quota_peer.peer.node))[
+                :STAND_INS
+            ]
             self._ranked[key] = found
         return found
 
--- a/src/hoisthook/teams/away_nodes.py
+++ b/src/hoisthook/teams/unreachable_nodes.py
@@ -19,7 +19,7 @@
     probed_at: float
 
 
-class AwayNodes:
+class UnreachableNodes:
     """Nodes that are passed over until one of them has answered beside the requests.
 
     Only the first request that meets a silent node waits for it.
--- a/src/hoisthook/traffic/configuration_exchange.py
+++ b/src/hoisthook/traffic/configuration_exchange.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from hoisthook.port.event_log import EventLog
     from hoisthook.traffic.configuration_holder import ConfigurationHolder
-    from hoisthook.traffic.configuration_parts import ConfigurationNews
+    from hoisthook.traffic.configuration_parts import ConfigurationDelta
     from hoisthook.traffic.configuration_parts import ConfigurationParts
     from hoisthook.traffic.traffic_configuration import TrafficConfiguration
 
@@ -48,19 +48,19 @@
         self._history = ConfigurationHistory()
         holder.on_change(lambda configuration: self._history.take(configuration.parts))
 
-    def since(self, version: int) -> ConfigurationNews | None:
+    def since(self, version: int) -> ConfigurationDelta | None:
         """Return what a node lacks that has a version; None if it lacks nothing."""
         return self._history.since(version)
 
-    def take(self, news: ConfigurationNews) -> bool:
+    def take(self, delta: ConfigurationDelta) -> bool:
         """Put news in force; return whether they fit what is known here."""
-        if news.version <= self._holder.version:
+        if delta.version <= self._holder.version:
             return True
         current = self._holder.current
-        parts = news.applied_to(None if current is None else current.parts)
+        parts = delta.applied_to(None if current is None else current.parts)
         configuration = None if parts is None else self._decode.assemble(parts)
         if configuration is None:
-            self._log.event("configuration_misfit", version=news.version, base=news.base)
+            self._log.event("configuration_misfit", version=delta.version, base=delta.base)
             return False
         self._holder.offer(configuration, ConfigurationSource.PEER)
         return True
--- a/src/hoisthook/traffic/configuration_history.py
+++ b/src/hoisthook/traffic/configuration_history.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from hoisthook.traffic.configuration_parts import ConfigurationNews
+from hoisthook.traffic.configuration_parts import ConfigurationDelta
 
 if TYPE_CHECKING:
     from hoisthook.traffic.configuration_parts import ConfigurationParts
@@ -47,7 +47,7 @@
         self._versions.append(parts.version)
         self._forget_old()
 
-    def since(self, version: int) -> ConfigurationNews | None:
+    def since(self, version: int) -> ConfigurationDelta | None:
         """Return what a node lacks that has a version; None if it lacks nothing.
 
         Parameters
@@ -60,8 +60,8 @@
             return None
         base = max((had for had in self._versions if had <= version), default=None)
         if base is None:
-            return ConfigurationNews(parts.version, parts.digest, parts=parts.by_key)
-        return ConfigurationNews(
+            return ConfigurationDelta(parts.version, parts.digest, parts=parts.by_key)
+        return ConfigurationDelta(
             parts.version,
             parts.digest,
             base,
--- a/src/hoisthook/traffic/configuration_parts.py
+++ b/src/hoisthook/traffic/configuration_parts.py
@@ -40,7 +40,7 @@
         object.__setattr__(self, "digest", digest)
 
 
-class ConfigurationNews(msgspec.Struct, frozen=True, omit_defaults=True):
+class ConfigurationDelta(msgspec.Struct, frozen=True, omit_defaults=True):
     """What turns a version that a node has into a newer one.
 
     Attributes
--- a/src/hoisthook/traffic/evacuation_reading.py
+++ b/src/hoisthook/traffic/evacuation_reading.py
@@ -35,7 +35,7 @@
         self._doubted_until = -math.inf
         self.data_centres: set[DataCentre] = set()
 
-    def came_back_older(self, now: float) -> None:
+    def store_regressed(self, now: float) -> None:
         """Doubt what is listed for a while."""
         self._doubted_until = now + REWRITTEN_SECONDS
 
--- a/standin/mesh_backend.py
+++ b/standin/mesh_backend.py
@@ -10,7 +10,7 @@
 
 from hoisthook.adapter.http.call_server import CallServer
 from hoisthook.adapter.http.client_pool import ClientPool
-from hoisthook.mesh.whole_exchange import exchange_whole
+from hoisthook.mesh.buffered_exchange import exchange_buffered
 
 if TYPE_CHECKING:
     from hoisthook.adapter.http.message import Header
@@ -160,7 +160,7 @@
 
     async def _tell(self, node: Address, call: str, body: bytes) -> int:
         connection = await self._pool.acquire(node, 1.0)
-        answered = await exchange_whole(
+        answered = await exchange_buffered(
             connection,
             b"POST",
             f"/-/Instances.{call}/{self.instance}".encode(),
--- a/standin/mesh_cluster.py
+++ b/standin/mesh_cluster.py
@@ -16,7 +16,7 @@
 from hoisthook.exceptions import UnreachableError
 from hoisthook.identity import format_address
 from hoisthook.identity import parse_address
-from hoisthook.mesh.whole_exchange import exchange_whole
+from hoisthook.mesh.buffered_exchange import exchange_buffered
 from hoisthook.node.call import Lost
 from standin.loopback_ports import free_address
 from standin.mesh_backend import MeshBackendStandin
@@ -179,7 +179,7 @@
             connection = await self.pool.acquire(address, 0.5)
         except UnreachableError:
             return 0
-        answered = await exchange_whole(
+        answered = await exchange_buffered(
             connection, b"GET", path, [(b"host", b"node")], b"", timeout=2.0
         )
         if isinstance(answered, Lost):
