--- a/standin/mesh_store.py
+++ b/standin/mesh_store.py
@@ -124,7 +124,7 @@
         """Keep a copy of what is there now."""
         self._copy = {name: list(topic.records) for name, topic in self.topic_by_name.items()}
 
-    def come_back_older(self) -> None:
+    def regress(self) -> None:
         """Go on from the copy, with offsets given out again."""
         self.era = (self.era or 0) + 1
         for name, topic in self.topic_by_name.items():
--- a/standin/mesh_system.py
+++ b/standin/mesh_system.py
@@ -16,8 +16,8 @@
 from hoisthook.adapter.http.client_pool import ClientPool
 from hoisthook.adapter.logged_store import LoggedStore
 from hoisthook.identity import format_address
+from hoisthook.mesh.buffered_exchange import exchange_buffered
 from hoisthook.mesh.mesh_node import MeshNode
-from hoisthook.mesh.whole_exchange import exchange_whole
 from hoisthook.node.call import Lost
 from hoisthook.node.loop_clock import LoopClock
 from hoisthook.settings.mesh_settings import BackendServerSettings
@@ -181,7 +181,7 @@
         peers = [machine.node.directory.me for machine in self.machines]
         for machine in self.machines:
             machine.node.directory.merge(peers, "test")
-            machine.node.directory.is_whole = True
+            machine.node.directory.is_complete = True
             machine.node.repeats.refresh()
 
     async def until_configured(self, version: int) -> None:
@@ -216,7 +216,7 @@
         headers.extend(more)
         address = machine.node.callers_address
         connection = await self._pool.acquire(address, 1.0)
-        answered = await exchange_whole(
+        answered = await exchange_buffered(
             connection, method, path.encode(), headers, body, timeout=timeout
         )
         if isinstance(answered, Lost):
--- a/standin/quota_fleet.py
+++ b/standin/quota_fleet.py
@@ -16,7 +16,7 @@
 from hoisthook.identity import NodeId
 from hoisthook.identity import TeamName
 from hoisthook.teams.quota_bounds import QuotaBounds
-from hoisthook.teams.quota_desk import QuotaDesk
+from hoisthook.teams.quota_coordinator import QuotaCoordinator
 from hoisthook.teams.quota_owners import QuotaOwners
 from hoisthook.teams.quota_verdict import Token
 
@@ -27,7 +27,7 @@
 
     from hoisthook.teams.quota_messages import QuotaAnswer
     from hoisthook.teams.quota_messages import QuotaQuestion
-    from hoisthook.teams.quota_owners import Seat
+    from hoisthook.teams.quota_owners import QuotaPeer
     from hoisthook.teams.team import Quota
     from hoisthook.teams.team import Team
 
@@ -51,17 +51,17 @@
 
 
 @dataclass(frozen=True)
-class Place:
+class NodeLocation:
     """A node and where it stands."""
 
     node: NodeId
     data_centre: DataCentre
 
 
-class OtherSeat:
+class OtherQuotaPeer:
     """A node as another sees it."""
 
-    def __init__(self, place: Place, *, is_self: bool) -> None:
+    def __init__(self, place: NodeLocation, *, is_self: bool) -> None:
         self.peer = place
         self.address: Address = (place.node, 1)
         self.is_self = is_self
@@ -70,35 +70,35 @@
 class Node:
     """One desk, and whom it can reach."""
 
-    def __init__(self, fleet: Fleet, place: Place) -> None:
+    def __init__(self, fleet: Fleet, place: NodeLocation) -> None:
         self.fleet = fleet
         self.place = place
         self.side = 0
         self.alive = True
         # Nodes to which nothing gets through from here, though others reach them.
         self.cannot_reach: set[NodeId] = set()
-        self.desk = self._new_desk()
+        self.quota_coordinator = self._new_quota_coordinator()
 
-    def _new_desk(self) -> QuotaDesk:
-        return QuotaDesk(BOUNDS, self.place.data_centre, self, LoopTime(), NoLog())
+    def _new_quota_coordinator(self) -> QuotaCoordinator:
+        return QuotaCoordinator(BOUNDS, self.place.data_centre, self, LoopTime(), NoLog())
 
     def start_again(self) -> None:
         """Start knowing nothing of before."""
         self.alive = True
-        self.desk = self._new_desk()
-        self.desk.knows(self.fleet.owners_for(self))
+        self.quota_coordinator = self._new_quota_coordinator()
+        self.quota_coordinator.knows(self.fleet.owners_for(self))
 
-    async def ask(self, seat: Seat, question: QuotaQuestion) -> QuotaAnswer | None:
+    async def ask(self, quota_peer: QuotaPeer, question: QuotaQuestion) -> QuotaAnswer | None:
         """Return a node's answer, or None if the way there or back is cut."""
-        other = self.fleet.by_node[seat.peer.node]
+        other = self.fleet.by_node[quota_peer.peer.node]
         near = other.place.data_centre == self.place.data_centre
         if not self.reaches(other):
             await asyncio.sleep(SILENCE_SECONDS)
             return None
         await asyncio.sleep(NEAR_SECONDS if near else FAR_SECONDS)
         if near:
-            other.desk.heard()
-        answer = await other.desk.answer(question)
+            other.quota_coordinator.heard()
+        answer = await other.quota_coordinator.answer(question)
         await asyncio.sleep(NEAR_SECONDS if near else FAR_SECONDS)
         return answer if self.reaches(other) else None
 
@@ -126,9 +126,9 @@
         for number, count in enumerate(per_data_centre):
             for place in range(count):
                 name = NodeId(f"node-{number}-{place}")
-                self.by_node[name] = Node(self, Place(name, DataCentre(f"dc-{number}")))
+                self.by_node[name] = Node(self, NodeLocation(name, DataCentre(f"dc-{number}")))
         for node in self.by_node.values():
-            node.desk.knows(self.owners_for(node))
+            node.quota_coordinator.knows(self.owners_for(node))
 
     @property
     def nodes(self) -> list[Node]:
@@ -138,7 +138,7 @@
     def owners_for(self, node: Node) -> QuotaOwners:
         """Return who gives out quotas, as a node sees it."""
         return QuotaOwners(
-            [OtherSeat(other.place, is_self=other is node) for other in self.by_node.values()]
+            [OtherQuotaPeer(other.place, is_self=other is node) for other in self.by_node.values()]
         )
 
     async def keep_in_contact(self) -> None:
@@ -154,8 +154,8 @@
                     and node.reaches(other)
                 ]
                 if near:
-                    self.random.choice(near).desk.heard()
-                    node.desk.heard()
+                    self.random.choice(near).quota_coordinator.heard()
+                    node.quota_coordinator.heard()
 
     async def press(
         self,
@@ -183,12 +183,12 @@
         self.asked[team.name] += 1
         self.asked_by_rank[rank] += 1
         assert team.quota is not None
-        refused = await node.desk.admit(team.name, team.quota, rank)
+        refused = await node.quota_coordinator.admit(team.name, team.quota, rank)
         if isinstance(refused, Token):
             if self.random.random() < self.not_run_share:
                 # Refused by backend servers that are full, after a while.
                 await asyncio.sleep(self.random.random() * NOT_RUN_SECONDS)
-                node.desk.not_run(team.name, team.quota, refused)
+                node.quota_coordinator.not_run(team.name, team.quota, refused)
                 return
             self.admitted[team.name].append(asyncio.get_running_loop().time())
             self.admitted_by_rank[rank] += 1
@@ -200,7 +200,7 @@
     def close(self) -> None:
         """Stop what is under way at all nodes."""
         for node in self.nodes:
-            node.desk.close()
+            node.quota_coordinator.close()
 
     def most_in_window(self, team: Team) -> int:
         """Return the most requests of a team that ran in any window."""
--- a/standin/soak_load.py
+++ b/standin/soak_load.py
@@ -11,7 +11,7 @@
 
 from hoisthook.exceptions import UnreachableError
 from hoisthook.identity import parse_address
-from hoisthook.mesh.whole_exchange import exchange_whole
+from hoisthook.mesh.buffered_exchange import exchange_buffered
 from hoisthook.node.call import Lost
 from hoisthook.result_code import ResultCode
 
@@ -101,7 +101,7 @@
         except UnreachableError:
             self._findings.statuses[0] += 1
             return 0
-        answered = await exchange_whole(
+        answered = await exchange_buffered(
             connection, method, path.encode(), headers, b"b" * 50, timeout=CALL_SECONDS + 0.5
         )
         if isinstance(answered, Lost):
@@ -134,6 +134,6 @@
             connection = await self._cluster.pool.acquire(parse_address(place.callers), 0.5)
         except UnreachableError:
             return False
-        answered = await exchange_whole(connection, b"GET", path, headers, b"", timeout=1.5)
+        answered = await exchange_buffered(connection, b"GET", path, headers, b"", timeout=1.5)
         connection.close()
         return not isinstance(answered, Lost) and answered[0].status == 200
--- a/tests/adapter/test_metered_log.py
+++ b/tests/adapter/test_metered_log.py
@@ -9,7 +9,7 @@
 
 from hoisthook.adapter import metered_log
 from hoisthook.adapter.metered_log import MeteredLog
-from hoisthook.beside.repeat_limit import RepeatStatus
+from hoisthook.local_backend.repeat_limit import RepeatStatus
 from hoisthook.mesh.node_status import NodeStatus
 from standin.mesh_system import ListLog
 
--- a/tests/admission/test_admission_policy.py
+++ b/tests/admission/test_admission_policy.py
@@ -17,7 +17,7 @@
 DEADLINE = 2.0
 
 
-class Beside:
+class AdmissionHarness:
     """What admission consists of, without a backend server."""
 
     def __init__(self, limit: int = 2) -> None:
@@ -28,7 +28,7 @@
         self.policy = AdmissionPolicy(self.gate, self.speed, self.clock)
 
     def report(self, slowdown: float) -> None:
-        self.speed.moments.reported(slowdown, self.clock.now())
+        self.speed.slow_periods.reported(slowdown, self.clock.now())
 
     def demand(self, target: float = TARGET, work: float = WORK, spread: float = 0.0) -> Demand:
         now = self.clock.now()
@@ -44,110 +44,112 @@
 
 
 @pytest.fixture
-def beside() -> Beside:
-    return Beside()
+def harness() -> AdmissionHarness:
+    return AdmissionHarness()
 
 
-def test_report_is_renewed_once_it_may_well_be_wrong(beside: Beside) -> None:
-    assert not beside.policy.is_read_worthwhile(beside.demand())
-    beside.clock.advance(0.05)
-    assert beside.policy.is_read_worthwhile(beside.demand())
+def test_report_is_renewed_once_it_may_well_be_wrong(harness: AdmissionHarness) -> None:
+    assert not harness.policy.is_read_worthwhile(harness.demand())
+    harness.clock.advance(0.05)
+    assert harness.policy.is_read_worthwhile(harness.demand())
 
 
-def test_report_is_not_renewed_for_what_a_slow_moment_does_not_make_late(beside: Beside) -> None:
-    beside.clock.advance(0.05)
-    assert not beside.policy.is_read_worthwhile(beside.demand(work=0.01))
+def test_report_is_not_renewed_for_what_a_slow_moment_does_not_make_late(
+    harness: AdmissionHarness,
+) -> None:
+    harness.clock.advance(0.05)
+    assert not harness.policy.is_read_worthwhile(harness.demand(work=0.01))
 
 
-async def test_report_is_not_renewed_where_no_slot_is_free(beside: Beside) -> None:
-    await beside.fill()
-    beside.clock.advance(0.05)
-    assert not beside.policy.is_read_worthwhile(beside.demand())
+async def test_report_is_not_renewed_where_no_slot_is_free(harness: AdmissionHarness) -> None:
+    await harness.fill()
+    harness.clock.advance(0.05)
+    assert not harness.policy.is_read_worthwhile(harness.demand())
 
 
 def test_slow_moment_sends_a_request_elsewhere_unless_it_is_in_time_all_the_same(
-    beside: Beside,
+    harness: AdmissionHarness,
 ) -> None:
-    beside.report(5.0)
-    assert beside.policy.start_now(beside.demand()).verdict is Verdict.SLOW
-    assert beside.policy.start_now(beside.demand(work=0.05)).verdict is Verdict.ADMIT
+    harness.report(5.0)
+    assert harness.policy.start_now(harness.demand()).verdict is Verdict.SLOW
+    assert harness.policy.start_now(harness.demand(work=0.05)).verdict is Verdict.ADMIT
 
 
-async def test_server_whose_work_is_long_overdue_is_passed_over(beside: Beside) -> None:
-    gate = PriorityGate(8, beside.speed, beside.clock)
-    policy = AdmissionPolicy(gate, beside.speed, beside.clock)
+async def test_server_whose_work_is_long_overdue_is_passed_over(harness: AdmissionHarness) -> None:
+    gate = PriorityGate(8, harness.speed, harness.clock)
+    policy = AdmissionPolicy(gate, harness.speed, harness.clock)
     for _ in range(3):
-        assert await gate.enter(beside.demand()) is not None
-    beside.clock.advance(0.3)
-    assert policy.start_now(beside.demand()).verdict is Verdict.ADMIT
-    beside.clock.advance(0.2)
-    assert policy.start_now(beside.demand()).verdict is Verdict.SLOW
+        assert await gate.enter(harness.demand()) is not None
+    harness.clock.advance(0.3)
+    assert policy.start_now(harness.demand()).verdict is Verdict.ADMIT
+    harness.clock.advance(0.2)
+    assert policy.start_now(harness.demand()).verdict is Verdict.SLOW
 
 
 async def test_request_waits_if_it_will_start_in_time_and_is_refused_at_once_if_not(
-    beside: Beside,
+    harness: AdmissionHarness,
 ) -> None:
-    await beside.fill()
-    assert beside.policy.may_wait(beside.demand(target=0.5)).verdict is Verdict.ADMIT
+    await harness.fill()
+    assert harness.policy.may_wait(harness.demand(target=0.5)).verdict is Verdict.ADMIT
     waiting = [
-        asyncio.create_task(beside.gate.enter(beside.demand(), beside.clock.now() + 5.0))
+        asyncio.create_task(harness.gate.enter(harness.demand(), harness.clock.now() + 5.0))
         for _ in range(6)
     ]
     await asyncio.sleep(0)
-    ruling = beside.policy.may_wait(beside.demand())
-    assert ruling.verdict is Verdict.FULL
-    assert ruling.retry_after > TARGET - WORK
-    beside.gate.refuse_waiting()
+    admission_decision = harness.policy.may_wait(harness.demand())
+    assert admission_decision.verdict is Verdict.FULL
+    assert admission_decision.retry_after > TARGET - WORK
+    harness.gate.refuse_waiting()
     await asyncio.gather(*waiting)
 
 
-async def test_wait_leaves_room_for_the_spread_of_the_work(beside: Beside) -> None:
-    now = beside.clock.now()
-    assert beside.policy.waits_until(beside.demand()) == pytest.approx(now + 0.4)
-    spread = beside.policy.waits_until(beside.demand(spread=0.1))
+async def test_wait_leaves_room_for_the_spread_of_the_work(harness: AdmissionHarness) -> None:
+    now = harness.clock.now()
+    assert harness.policy.waits_until(harness.demand()) == pytest.approx(now + 0.4)
+    spread = harness.policy.waits_until(harness.demand(spread=0.1))
     assert spread == pytest.approx(now + 0.3)
 
 
-async def test_call_whose_target_is_over_still_waits_for_a_slot(beside: Beside) -> None:
-    await beside.fill()
-    assert beside.policy.may_wait(beside.demand(target=0.01, work=0.02)).verdict is Verdict.ADMIT
+async def test_call_whose_target_is_over_still_waits_for_a_slot(harness: AdmissionHarness) -> None:
+    await harness.fill()
+    assert harness.policy.may_wait(harness.demand(target=0.01, work=0.02)).verdict is Verdict.ADMIT
 
 
 async def test_late_request_leaves_its_place_while_others_that_could_be_in_time_are_turned_away(
-    beside: Beside,
+    harness: AdmissionHarness,
 ) -> None:
-    slots = await beside.fill()
-    late = beside.demand(target=0.05)
-    waiting = asyncio.create_task(beside.gate.enter(late, beside.clock.now() + 5.0))
+    slots = await harness.fill()
+    late = harness.demand(target=0.05)
+    waiting = asyncio.create_task(harness.gate.enter(late, harness.clock.now() + 5.0))
     await asyncio.sleep(0)
-    assert beside.policy.start_now(beside.demand()).verdict is Verdict.FULL
-    beside.gate.leave(slots.pop())
+    assert harness.policy.start_now(harness.demand()).verdict is Verdict.FULL
+    harness.gate.leave(slots.pop())
     await asyncio.sleep(0)
     assert not waiting.done()
-    beside.clock.advance(1.0)
-    beside.gate.admit()
+    harness.clock.advance(1.0)
+    harness.gate.admit()
     assert await waiting is not None
 
 
-async def test_light_late_request_does_not_yield(beside: Beside) -> None:
-    slots = await beside.fill()
-    call = beside.demand(target=0.01, work=0.02)
-    waiting = asyncio.create_task(beside.gate.enter(call, beside.clock.now() + 5.0))
+async def test_light_late_request_does_not_yield(harness: AdmissionHarness) -> None:
+    slots = await harness.fill()
+    call = harness.demand(target=0.01, work=0.02)
+    waiting = asyncio.create_task(harness.gate.enter(call, harness.clock.now() + 5.0))
     await asyncio.sleep(0)
-    assert beside.policy.start_now(beside.demand()).verdict is Verdict.FULL
-    beside.gate.leave(slots.pop())
+    assert harness.policy.start_now(harness.demand()).verdict is Verdict.FULL
+    harness.gate.leave(slots.pop())
     assert await waiting is not None
 
 
 async def test_nothing_late_starts_in_a_short_slow_moment_and_all_does_after_it(
-    beside: Beside,
+    harness: AdmissionHarness,
 ) -> None:
-    beside.report(5.0)
-    waiting = asyncio.create_task(beside.gate.enter(beside.demand(), beside.clock.now() + 5.0))
+    harness.report(5.0)
+    waiting = asyncio.create_task(harness.gate.enter(harness.demand(), harness.clock.now() + 5.0))
     await asyncio.sleep(0)
-    beside.gate.admit()
-    assert beside.gate.is_holding
-    beside.clock.advance(0.1)
-    beside.report(1.0)
-    beside.gate.admit()
+    harness.gate.admit()
+    assert harness.gate.is_holding
+    harness.clock.advance(0.1)
+    harness.report(1.0)
+    harness.gate.admit()
     assert await waiting is not None
--- a/tests/admission/test_running_requests.py
+++ b/tests/admission/test_running_requests.py
@@ -21,88 +21,88 @@
     return RunningRequest(RequestId(name), route, priority)
 
 
-def learn(beside: RunningRequests, count: int = 2 * MIN_SEEN) -> None:
+def learn(running_requests: RunningRequests, count: int = 2 * MIN_SEEN) -> None:
     """Half of the time a registration runs, which looks things up; others come at any time."""
     drawn = random.Random(7)
     for _ in range(count):
         request = running(REGISTER, 0)
-        beside.begin(request)
-        beside.arrived(LOOKUP)
+        running_requests.begin(request)
+        running_requests.arrived(LOOKUP)
         if drawn.random() < 0.5:
-            beside.arrived(OWN)
-        beside.end(request)
-        beside.arrived(OWN)
+            running_requests.arrived(OWN)
+        running_requests.end(request)
+        running_requests.arrived(OWN)
 
 
 def test_call_bears_the_rank_of_the_request_that_makes_it() -> None:
-    beside = RunningRequests(FakeClock())
-    learn(beside)
+    running_requests = RunningRequests(FakeClock())
+    learn(running_requests)
     request = running(REGISTER, 0, "parent")
-    beside.begin(request)
-    assert beside.maker_of(LOOKUP) is request
-    beside.end(request)
-    assert beside.maker_of(LOOKUP) is None
+    running_requests.begin(request)
+    assert running_requests.parent_of(LOOKUP) is request
+    running_requests.end(request)
+    assert running_requests.parent_of(LOOKUP) is None
 
 
 def test_request_that_comes_at_any_time_is_nobodys_call() -> None:
-    beside = RunningRequests(FakeClock())
-    learn(beside)
-    beside.begin(running(REGISTER, 0))
-    assert beside.maker_of(OWN) is None
+    running_requests = RunningRequests(FakeClock())
+    learn(running_requests)
+    running_requests.begin(running(REGISTER, 0))
+    assert running_requests.parent_of(OWN) is None
 
 
 def test_nothing_is_taken_for_a_call_before_enough_is_known() -> None:
-    beside = RunningRequests(FakeClock())
-    learn(beside, MIN_SEEN // 2)
-    beside.begin(running(REGISTER, 0))
-    assert beside.maker_of(LOOKUP) is None
+    running_requests = RunningRequests(FakeClock())
+    learn(running_requests, MIN_SEEN // 2)
+    running_requests.begin(running(REGISTER, 0))
+    assert running_requests.parent_of(LOOKUP) is None
 
 
 def test_nothing_is_learned_where_a_route_runs_all_the_time() -> None:
-    beside = RunningRequests(FakeClock())
-    beside.begin(running(REGISTER, 0))
+    running_requests = RunningRequests(FakeClock())
+    running_requests.begin(running(REGISTER, 0))
     for _ in range(4 * MIN_SEEN):
-        beside.arrived(LOOKUP)
-        beside.arrived(OWN)
-    assert beside.maker_of(LOOKUP) is None
+        running_requests.arrived(LOOKUP)
+        running_requests.arrived(OWN)
+    assert running_requests.parent_of(LOOKUP) is None
 
 
 def test_most_urgent_of_several_is_taken() -> None:
-    beside = RunningRequests(FakeClock())
-    learn(beside)
-    beside.begin(running(REGISTER, 2, "later"))
+    running_requests = RunningRequests(FakeClock())
+    learn(running_requests)
+    running_requests.begin(running(REGISTER, 2, "later"))
     urgent = running(REGISTER, 0, "urgent")
-    beside.begin(urgent)
-    assert beside.maker_of(LOOKUP) is urgent
+    running_requests.begin(urgent)
+    assert running_requests.parent_of(LOOKUP) is urgent
 
 
 def test_who_calls_what_is_learned_anew_when_it_changes() -> None:
-    beside = RunningRequests(FakeClock())
-    learn(beside)
+    running_requests = RunningRequests(FakeClock())
+    learn(running_requests)
     for _ in range(20 * MIN_SEEN):
         request = running(VERIFY, 1)
-        beside.begin(request)
-        beside.arrived(LOOKUP)
-        beside.end(request)
-        beside.arrived(OWN)
-    beside.begin(running(REGISTER, 0))
-    assert beside.maker_of(LOOKUP) is None
+        running_requests.begin(request)
+        running_requests.arrived(LOOKUP)
+        running_requests.end(request)
+        running_requests.arrived(OWN)
+    running_requests.begin(running(REGISTER, 0))
+    assert running_requests.parent_of(LOOKUP) is None
     verify = running(VERIFY, 1)
-    beside.begin(verify)
-    assert beside.maker_of(LOOKUP) is verify
+    running_requests.begin(verify)
+    assert running_requests.parent_of(LOOKUP) is verify
 
 
 def test_call_is_by_a_repeat_as_likely_as_what_may_have_made_it_is_one() -> None:
-    beside = RunningRequests(FakeClock())
-    assert beside.repeated(LOOKUP) == 0.0
+    running_requests = RunningRequests(FakeClock())
+    assert running_requests.repeated(LOOKUP) == 0.0
     for repeat in (1.0, 0.5, 0.0, 0.0):
-        beside.begin(RunningRequest(RequestId("r"), REGISTER, 0, repeat))
-    assert beside.repeated(LOOKUP) == 0.375
+        running_requests.begin(RunningRequest(RequestId("r"), REGISTER, 0, repeat))
+    assert running_requests.repeated(LOOKUP) == 0.375
 
 
 def test_what_does_not_make_a_call_says_nothing_of_it() -> None:
-    beside = RunningRequests(FakeClock())
-    learn(beside)
-    beside.begin(RunningRequest(RequestId("again"), REGISTER, 0, 1.0))
-    beside.begin(running(VERIFY, 0))
-    assert beside.repeated(LOOKUP) == 1.0
+    running_requests = RunningRequests(FakeClock())
+    learn(running_requests)
+    running_requests.begin(RunningRequest(RequestId("again"), REGISTER, 0, 1.0))
+    running_requests.begin(running(VERIFY, 0))
+    assert running_requests.repeated(LOOKUP) == 1.0
--- a/tests/configuration/test_change_matrix.py
+++ b/tests/configuration/test_change_matrix.py
@@ -10,13 +10,13 @@
 from result import Err
 from result import Ok
 
-from hoisthook.configuration import configuration_desk
+from hoisthook.configuration import configuration_writer
 from hoisthook.configuration.change import ChangeRecord
 from hoisthook.configuration.change import PutService
-from hoisthook.configuration.configuration_desk import ConfigurationDesk
 from hoisthook.configuration.configuration_follower import CHANGES_STREAM
 from hoisthook.configuration.configuration_follower import ConfigurationFollower
 from hoisthook.configuration.configuration_state import ConfigurationState
+from hoisthook.configuration.configuration_writer import ConfigurationWriter
 from hoisthook.configuration.service_spec import ServiceSpec
 from hoisthook.result_code import ResultCode
 from tests.fakes import FakeClock
@@ -48,7 +48,7 @@
         self.follower = ConfigurationFollower(
             self.state, log, FakePeers({}), clock, random.Random(1), retention=100.0
         )
-        self.desk = ConfigurationDesk(self.state, self.follower, log)
+        self.writer = ConfigurationWriter(self.state, self.follower, log)
 
 
 class SteppedLog(FakeLog):
@@ -114,15 +114,15 @@
 async def test_what_the_operator_is_told_is_true_everywhere_and_for_ever(
     monkeypatch: pytest.MonkeyPatch, clock: FakeClock, step: str, fault: str
 ) -> None:
-    monkeypatch.setattr(configuration_desk, "SETTLE_SECONDS", 0.05)
+    monkeypatch.setattr(configuration_writer, "SETTLE_SECONDS", 0.05)
     log = SteppedLog()
     here = Seat(log, clock)
-    assert isinstance(await here.desk.submit(change("first", 0, 10)), Ok)
+    assert isinstance(await here.writer.submit(change("first", 0, 10)), Ok)
     witness = Seat(log, clock)
     await witness.follower.read_log()
     log.step, log.strike = step, make_strike(log, clock, fault)
     await log.at("before")
-    told = await here.desk.submit(change("mine", 1, 50))
+    told = await here.writer.submit(change("mine", 1, 50))
     await log.at("accepted")
     log.outage = False
     log.lose_answers = log.lose_requests = 0
@@ -140,7 +140,7 @@
     elif told.err_value.code in (ResultCode.LOG_UNAVAILABLE, ResultCode.REVISION_CONFLICT):
         assert winner != 50
     # A repeat with the same operation id tells the final truth and changes nothing more.
-    again = await fresh.desk.submit(change("mine", 1, 50))
+    again = await fresh.writer.submit(change("mine", 1, 50))
     if isinstance(told, Ok):
         assert isinstance(again, Ok)
         assert again.ok_value.winner == told.ok_value.winner
--- a/tests/docs/test_logs_page.py
+++ b/tests/docs/test_logs_page.py
@@ -7,7 +7,7 @@
 WRITTEN = re.compile(r"\.(?:event|decision)\(\s*\"(\w+)\"")
 NAMED = re.compile(r"^\| ((?:`\w+`(?:, )?)+) \|", re.MULTILINE)
 SOURCES = (
-    "src/hoisthook/beside",
+    "src/hoisthook/local_backend",
     "src/hoisthook/membership",
     "src/hoisthook/mesh",
     "src/hoisthook/retry",
--- a/tests/experiment/test_repeats_in_vain.py
+++ b/tests/experiment/test_repeats_in_vain.py
@@ -5,21 +5,21 @@
 from typing import TYPE_CHECKING
 
 from hoisthook.experiment import modelled_hop
-from hoisthook.experiment.load_pattern import Befall
-from hoisthook.experiment.load_pattern import Trouble
+from hoisthook.experiment.load_pattern import Disruption
+from hoisthook.experiment.load_pattern import DisruptionKind
 from hoisthook.experiment.modelled_system import ModelledSystem
-from hoisthook.routing import try_yield
+from hoisthook.routing import admission_rate
 from tests.experiment.test_retry_budget import DESK
 from tests.experiment.test_retry_budget import pattern
 
 if TYPE_CHECKING:
     import pytest
 
-    from hoisthook.experiment.load_pattern import Tally
+    from hoisthook.experiment.load_pattern import LoadResults
     from hoisthook.experiment.modelled_hop import ModelledHop
     from hoisthook.mesh.hop_header import Admission
     from hoisthook.mesh.outcome import Outcome
-    from hoisthook.mesh.outcome import Unheard
+    from hoisthook.mesh.outcome import PendingOutcome
     from hoisthook.mesh.peer import PeerView
     from hoisthook.mesh.routed_call import RoutedCall
 
@@ -33,20 +33,20 @@
 
     async def count(
         hop: ModelledHop, view: PeerView, call: RoutedCall, admission: Admission
-    ) -> Outcome | Unheard:
+    ) -> Outcome | PendingOutcome:
         if call.arrival.is_repeat:
             asked.append(call)
         return await run(hop, view, call, admission)
 
     monkeypatch.setattr(modelled_hop.ModelledHop, "run", count)
-    load = pattern(Trouble(Befall.SHEDS, 2.0, 12.0, strength=0.55, service=DESK))
+    load = pattern(Disruption(DisruptionKind.SHEDS, 2.0, 12.0, strength=0.55, service=DESK))
 
-    def play() -> tuple[list[Tally], int]:
+    def play() -> tuple[list[LoadResults], int]:
         asked.clear()
         return [ModelledSystem(load, seed).play() for seed in SEEDS], len(asked)
 
     few, few_asked = play()
-    monkeypatch.setattr(try_yield, "MIN_SHARE", 0.0)
+    monkeypatch.setattr(admission_rate, "MIN_SHARE", 0.0)
     all_nodes, all_asked = play()
     assert few_asked < 0.75 * all_asked
     assert sum(t.share for t in few) > sum(t.share for t in all_nodes) - 0.02
--- a/tests/experiment/test_replays.py
+++ b/tests/experiment/test_replays.py
@@ -11,12 +11,12 @@
 from hoisthook.admission import priority_gate
 from hoisthook.admission.pressure import Pressure
 from hoisthook.admission.server_speed import ServerSpeed
-from hoisthook.experiment.load_pattern import Befall
+from hoisthook.experiment.load_pattern import Disruption
+from hoisthook.experiment.load_pattern import DisruptionKind
 from hoisthook.experiment.load_pattern import LoadPattern
 from hoisthook.experiment.load_pattern import RouteTraits
 from hoisthook.experiment.load_pattern import ServerTraits
 from hoisthook.experiment.load_pattern import ServiceTraits
-from hoisthook.experiment.load_pattern import Trouble
 from hoisthook.experiment.modelled_system import ModelledSystem
 from hoisthook.experiment.virtual_loop import run_virtually
 from hoisthook.identity import RouteName
@@ -28,7 +28,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from hoisthook.experiment.load_pattern import Tally
+    from hoisthook.experiment.load_pattern import LoadResults
 
 SHOP = ServiceName("shop")
 SEEDS = (1, 2, 3)
@@ -36,22 +36,22 @@
 MANY_SEEDS = range(1, 9)
 
 
-def pattern(*troubles: Trouble, per_second: float, work: float = 0.2) -> LoadPattern:
+def pattern(*troubles: Disruption, per_second: float, work: float = 0.2) -> LoadPattern:
     services = [ServiceTraits(SHOP, 4)]
     route = RouteTraits(RouteName("r"), SHOP, per_second, work, 2.7 * work, 6.0 * work)
     return LoadPattern("test", 10.0, services, [route], list(troubles))
 
 
-def played(load: LoadPattern, seeds: Iterable[int] = SEEDS) -> list[Tally]:
+def played(load: LoadPattern, seeds: Iterable[int] = SEEDS) -> list[LoadResults]:
     return [ModelledSystem(load, seed).play() for seed in seeds]
 
 
-def not_in_time(tallies: list[Tally]) -> int:
-    return sum(tally.requests - tally.in_time for tally in tallies)
+def not_in_time(results_by_seed: list[LoadResults]) -> int:
+    return sum(results.requests - results.in_time for results in results_by_seed)
 
 
-def share(tallies: list[Tally]) -> float:
-    return sum(tally.share for tally in tallies) / len(tallies)
+def share(results_by_seed: list[LoadResults]) -> float:
+    return sum(results.share for results in results_by_seed) / len(results_by_seed)
 
 
 def test_a_seed_is_played_the_same_each_time() -> None:
@@ -100,7 +100,9 @@
 def test_server_that_slows_down_unreported_is_known_by_its_pace(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    load = pattern(Trouble(Befall.DEGRADED, 2.0, 6.0, strength=3.0, share=0.25), per_second=60.0)
+    load = pattern(
+        Disruption(DisruptionKind.DEGRADED, 2.0, 6.0, strength=3.0, share=0.25), per_second=60.0
+    )
     knowing = played(load, MANY_SEEDS)
     monkeypatch.setattr(ServerSpeed, "pace", lambda *_: 1.0)
     ignorant = played(load, MANY_SEEDS)
@@ -111,7 +113,9 @@
 def test_server_that_all_but_stops_is_found_by_its_overdue_work(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    load = pattern(Trouble(Befall.DEGRADED, 2.0, 6.0, strength=12.0, share=0.25), per_second=60.0)
+    load = pattern(
+        Disruption(DisruptionKind.DEGRADED, 2.0, 6.0, strength=12.0, share=0.25), per_second=60.0
+    )
     finding = played(load, MANY_SEEDS)
     monkeypatch.setattr(priority_gate, "MIN_STALLED", 1_000_000)
     waiting = played(load, MANY_SEEDS)
@@ -119,11 +123,11 @@
 
 
 def test_restart_of_all_is_over_within_the_time_that_servers_are_cold() -> None:
-    load = pattern(Trouble(Befall.RESTART, 2.0, 0.8), per_second=100.0)
-    for tally in played(load):
+    load = pattern(Disruption(DisruptionKind.RESTART, 2.0, 0.8), per_second=100.0)
+    for results in played(load):
         after = range(7, 10)
-        owed = sum(tally.owed_by_second[second] for second in after)
-        earned = sum(tally.earned_by_second[second] for second in after)
+        owed = sum(results.owed_by_second[second] for second in after)
+        earned = sum(results.earned_by_second[second] for second in after)
         assert earned > 0.9 * owed
 
 
@@ -136,11 +140,11 @@
 
 
 def test_burst_is_served_or_refused_and_nobody_is_left_to_the_deadline() -> None:
-    load = pattern(Trouble(Befall.BURST, 2.0, 3.0, strength=4.0), per_second=100.0)
-    for tally in played(load):
-        assert tally.refused > 0
-        assert tally.failed < 0.02 * tally.requests
-        assert tally.in_time > 0.5 * tally.requests
+    load = pattern(Disruption(DisruptionKind.BURST, 2.0, 3.0, strength=4.0), per_second=100.0)
+    for results in played(load):
+        assert results.refused > 0
+        assert results.failed < 0.02 * results.requests
+        assert results.in_time > 0.5 * results.requests
 
 
 def forgets_suspicion(view: PeerView, now: float) -> float:
@@ -155,7 +159,7 @@
     """Six of twenty instances are gone for good, as when a data centre lost power."""
     services = [ServiceTraits(SHOP, 20)]
     route = RouteTraits(RouteName("r"), SHOP, 150.0, 0.1, 0.25, 1.0)
-    gone = Trouble(Befall.GONE, 2.0, 60.0, share=0.3)
+    gone = Disruption(DisruptionKind.GONE, 2.0, 60.0, share=0.3)
     load = LoadPattern("test", 20.0, services, [route], [gone])
     suspecting = played(load)
     monkeypatch.setattr(PeerView, "unreachable", forgets_suspicion)
@@ -167,12 +171,12 @@
 def test_nodes_that_are_back_get_work_again() -> None:
     services = [ServiceTraits(SHOP, 4)]
     route = RouteTraits(RouteName("r"), SHOP, 60.0, 0.1, 0.4, 1.0)
-    gone = Trouble(Befall.GONE, 1.0, 2.0, share=0.5)
+    gone = Disruption(DisruptionKind.GONE, 1.0, 2.0, share=0.5)
     system = ModelledSystem(LoadPattern("test", 12.0, services, [route], [gone]), 1)
-    tally = system.play()
-    late = [second for second in tally.owed_by_second if second >= 8]
-    earned = sum(tally.earned_by_second[second] for second in late)
-    assert earned > 0.97 * sum(tally.owed_by_second[second] for second in late)
+    results = system.play()
+    late = [second for second in results.owed_by_second if second >= 8]
+    earned = sum(results.earned_by_second[second] for second in late)
+    assert earned > 0.97 * sum(results.owed_by_second[second] for second in late)
     views = [view for node in system.node_by_id.values() for view in node.directory.views()]
     assert not any(view.suspected for view in views)
 
--- a/tests/experiment/test_retry_budget.py
+++ b/tests/experiment/test_retry_budget.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from hoisthook.experiment.load_pattern import Befall
+from hoisthook.experiment.load_pattern import Disruption
+from hoisthook.experiment.load_pattern import DisruptionKind
 from hoisthook.experiment.load_pattern import LoadPattern
 from hoisthook.experiment.load_pattern import RouteTraits
 from hoisthook.experiment.load_pattern import ServiceTraits
-from hoisthook.experiment.load_pattern import Trouble
 from hoisthook.experiment.modelled_node import RETRY_SETTINGS
 from hoisthook.experiment.modelled_system import ModelledSystem
 from hoisthook.identity import RouteName
@@ -22,7 +22,7 @@
 
 
 def pattern(
-    *troubles: Trouble,
+    *troubles: Disruption,
     retries: int = 1,
     reads: float = 116.0,
     redeems: float = 40.0,
@@ -65,18 +65,20 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_calls_do_not_raise_the_retry_budget(seed: int) -> None:
     load = pattern(
-        Trouble(Befall.SHEDS, 2.0, 12.0, strength=0.85, service=DESK),
-        Trouble(Befall.SHEDS, 2.0, 12.0, strength=0.85, service=READS),
-        Trouble(Befall.BURST, 2.0, 12.0, strength=2.0),
+        Disruption(DisruptionKind.SHEDS, 2.0, 12.0, strength=0.85, service=DESK),
+        Disruption(DisruptionKind.SHEDS, 2.0, 12.0, strength=0.85, service=READS),
+        Disruption(DisruptionKind.BURST, 2.0, 12.0, strength=2.0),
     )
     assert_kept(load, seed)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_starts_in_series_do_not_renew_the_retry_budget(seed: int) -> None:
-    starts = (Trouble(Befall.NODE_STARTS, at, 0.0, share=0.5) for at in SERIES)
+    starts = (Disruption(DisruptionKind.NODE_STARTS, at, 0.0, share=0.5) for at in SERIES)
     load = pattern(
-        Trouble(Befall.SHEDS, 2.0, 12.0, strength=0.85, service=READS), *starts, retries=0
+        Disruption(DisruptionKind.SHEDS, 2.0, 12.0, strength=0.85, service=READS),
+        *starts,
+        retries=0,
     )
     assert_kept(load, seed)
 
@@ -84,8 +86,8 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_nodes_that_know_few_do_not_share_the_retry_budget_among_few(seed: int) -> None:
     load = pattern(
-        Trouble(Befall.SHEDS, 2.0, 12.0, strength=0.85, service=READS),
-        Trouble(Befall.NODE_STARTS, 1.0, 14.0),
+        Disruption(DisruptionKind.SHEDS, 2.0, 12.0, strength=0.85, service=READS),
+        Disruption(DisruptionKind.NODE_STARTS, 1.0, 14.0),
         retries=0,
         reads=40.0,
     )
@@ -95,7 +97,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_calls_of_repeats_stay_within_the_budget_of_the_service_that_is_called(seed: int) -> None:
     load = pattern(
-        Trouble(Befall.SHEDS, 2.0, 12.0, strength=0.4, service=READS),
+        Disruption(DisruptionKind.SHEDS, 2.0, 12.0, strength=0.4, service=READS),
         redeems=4.0,
         call_share=1.0,
     )
@@ -104,9 +106,11 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_what_arrives_late_at_silent_nodes_stays_within_the_retry_budget(seed: int) -> None:
-    silences = (Trouble(Befall.SILENT, at, 0.5, share=0.5, service=READS) for at in SERIES)
+    silences = (
+        Disruption(DisruptionKind.SILENT, at, 0.5, share=0.5, service=READS) for at in SERIES
+    )
     load = pattern(
-        Trouble(Befall.SHEDS, 2.0, 12.0, strength=0.85, service=READS),
+        Disruption(DisruptionKind.SHEDS, 2.0, 12.0, strength=0.85, service=READS),
         *silences,
         retries=0,
         reads=400.0,
--- a/tests/experiment/test_silent_nodes.py
+++ b/tests/experiment/test_silent_nodes.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from hoisthook.experiment.load_pattern import Befall
-from hoisthook.experiment.load_pattern import Trouble
+from hoisthook.experiment.load_pattern import Disruption
+from hoisthook.experiment.load_pattern import DisruptionKind
 from hoisthook.experiment.modelled_system import ModelledSystem
 from tests.experiment.test_retry_budget import READS
 from tests.experiment.test_retry_budget import SEEDS
@@ -21,9 +21,11 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_requests_at_nodes_that_come_back_in_time_are_not_lost(seed: int) -> None:
     """Guards against 502 for requests that silent nodes run when they come back."""
-    silences = [Trouble(Befall.SILENT, at, SILENT_SECONDS, 0.5, service=READS) for at in SERIES]
+    silences = [
+        Disruption(DisruptionKind.SILENT, at, SILENT_SECONDS, 0.5, service=READS) for at in SERIES
+    ]
     load = pattern(*silences, retries=0, reads=180.0)
-    tally = ModelledSystem(load, seed).play()
-    asked = tally.in_time + tally.late + tally.refused + tally.failed
-    assert tally.failed <= LOST_SHARE * asked
+    results = ModelledSystem(load, seed).play()
+    asked = results.in_time + results.late + results.refused + results.failed
+    assert results.failed <= LOST_SHARE * asked
     assert_kept(load, seed)
--- a/tests/beside/test_crash_watch.py
+++ b/tests/local_backend/test_crash_monitor.py
@@ -4,12 +4,12 @@
 
 from typing import TYPE_CHECKING
 
-from hoisthook.beside.crash_watch import CrashWatch
-from hoisthook.beside.end_watch import LostRun
 from hoisthook.identity import InstanceId
 from hoisthook.identity import RequestId
 from hoisthook.identity import RouteName
 from hoisthook.identity import ServiceName
+from hoisthook.local_backend.crash_monitor import CrashMonitor
+from hoisthook.local_backend.exit_detector import LostRequest
 from hoisthook.mesh.routed_call import RoutedCall
 from hoisthook.result_code import ResultCode
 from hoisthook.retry.crash_evidence import CrashEvidence
@@ -41,32 +41,32 @@
     )
 
 
-def lost(call: RoutedCall, instance: str, clock: FakeClock) -> list[LostRun]:
-    return [LostRun(call.request_id, call.work, InstanceId(instance), clock.now())]
+def lost(call: RoutedCall, instance: str, clock: FakeClock) -> list[LostRequest]:
+    return [LostRequest(call.request_id, call.work, InstanceId(instance), clock.now())]
 
 
 def test_all_servers_end_at_once_with_the_same_work_in_each(clock: FakeClock) -> None:
     evidence = CrashEvidence(ListLog())
     call = popular_call()
-    watches = [CrashWatch(SHOP, evidence, clock) for _ in range(SERVERS)]
+    watches = [CrashMonitor(SHOP, evidence, clock) for _ in range(SERVERS)]
     for life in range(3):
-        for watch in watches:
-            watch.ran_well(call)
+        for crash_monitor in watches:
+            crash_monitor.ran_well(call)
         clock.advance(1.0)
-        for number, watch in enumerate(watches):
-            watch.ended(lost(call, f"i-{number}-{life}", clock))
+        for number, crash_monitor in enumerate(watches):
+            crash_monitor.ended(lost(call, f"i-{number}-{life}", clock))
         assert watches[0].refuse(call) is None
 
 
 def test_work_that_has_run_well_in_another_incarnation_alone_is_blamed(clock: FakeClock) -> None:
     evidence = CrashEvidence(ListLog())
     call = popular_call()
-    watch = CrashWatch(SHOP, evidence, clock)
-    watch.ran_well(call)
+    crash_monitor = CrashMonitor(SHOP, evidence, clock)
+    crash_monitor.ran_well(call)
     for life in range(4):
         clock.advance(1.0)
-        watch.ended(lost(call, f"i-{life}", clock))
-    refused = watch.refuse(call)
+        crash_monitor.ended(lost(call, f"i-{life}", clock))
+    refused = crash_monitor.refuse(call)
     assert refused is not None
     assert refused.code is ResultCode.WORK_ENDS_SERVERS
 
@@ -74,24 +74,24 @@
 def test_work_whose_body_is_not_here_yet_is_not_judged(clock: FakeClock) -> None:
     evidence = CrashEvidence(ListLog())
     call = popular_call()
-    watch = CrashWatch(SHOP, evidence, clock)
+    crash_monitor = CrashMonitor(SHOP, evidence, clock)
     for life in range(3):
-        watch.ended(lost(call, f"i-{life}", clock))
-    call.is_whole = False
-    assert watch.refuse(call) is None
-    call.is_whole = True
-    assert watch.refuse(call) is not None
+        crash_monitor.ended(lost(call, f"i-{life}", clock))
+    call.is_complete = False
+    assert crash_monitor.refuse(call) is None
+    call.is_complete = True
+    assert crash_monitor.refuse(call) is not None
 
 
 def test_good_run_takes_the_blame_away(clock: FakeClock) -> None:
     evidence = CrashEvidence(ListLog())
     call = popular_call()
-    watch = CrashWatch(SHOP, evidence, clock)
+    crash_monitor = CrashMonitor(SHOP, evidence, clock)
     for life in range(2):
         clock.advance(1.0)
-        watch.ended(lost(call, f"i-{life}", clock))
+        crash_monitor.ended(lost(call, f"i-{life}", clock))
     clock.advance(1.0)
-    CrashWatch(SHOP, evidence, clock).ran_well(call)
+    CrashMonitor(SHOP, evidence, clock).ran_well(call)
     clock.advance(1.0)
-    watch.ended(lost(call, "i-2", clock))
-    assert watch.refuse(call) is None
+    crash_monitor.ended(lost(call, "i-2", clock))
+    assert crash_monitor.refuse(call) is None
--- a/tests/beside/test_end_watch.py
+++ b/tests/local_backend/test_exit_detector.py
@@ -7,15 +7,15 @@
 import pytest
 
 from hoisthook.adapter.http.client_pool import ClientPool
-from hoisthook.beside.end_watch import MAX_PENDING
-from hoisthook.beside.end_watch import PENDING_SECONDS
-from hoisthook.beside.end_watch import EndWatch
-from hoisthook.beside.end_watch import LostRun
 from hoisthook.identity import InstanceId
 from hoisthook.identity import RequestId
 from hoisthook.identity import WorkId
-from hoisthook.mesh.backend_belief import Announcement
-from hoisthook.mesh.backend_belief import BackendBelief
+from hoisthook.local_backend.exit_detector import MAX_PENDING
+from hoisthook.local_backend.exit_detector import PENDING_SECONDS
+from hoisthook.local_backend.exit_detector import ExitDetector
+from hoisthook.local_backend.exit_detector import LostRequest
+from hoisthook.mesh.observed_backend import Announcement
+from hoisthook.mesh.observed_backend import ObservedBackend
 from standin.mesh_backend import MeshBackendStandin
 from standin.mesh_system import ListLog
 
@@ -30,20 +30,26 @@
 
     def __init__(self, clock: FakeClock, backend: MeshBackendStandin) -> None:
         self.clock = clock
-        self.belief = BackendBelief(ListLog())
+        self.observed_backend = ObservedBackend(ListLog())
         self.announce(sequence=1)
-        self.watch = EndWatch(
-            lambda: backend.address, ClientPool(), lambda: self.belief.takes_work, clock, ListLog()
+        self.exit_detector = ExitDetector(
+            lambda: backend.address,
+            ClientPool(),
+            lambda: self.observed_backend.takes_work,
+            clock,
+            ListLog(),
         )
-        self.ended: list[LostRun] = []
-        self.watch.on_ended(self.ended.extend)
+        self.ended: list[LostRequest] = []
+        self.exit_detector.on_ended(self.ended.extend)
 
     def announce(self, *, sequence: int, draining: bool = False) -> None:
-        self.belief.announced(Announcement(FIRST, sequence, draining, slots=4, cold_seconds=0.0))
+        self.observed_backend.announced(
+            Announcement(FIRST, sequence, draining, slots=4, cold_seconds=0.0)
+        )
 
-    def lose(self) -> LostRun:
-        lost = LostRun(RequestId("q"), WorkId("w"), FIRST, self.clock.now())
-        self.watch.broken(lost)
+    def lose(self) -> LostRequest:
+        lost = LostRequest(RequestId("q"), WorkId("w"), FIRST, self.clock.now())
+        self.exit_detector.broken(lost)
         return lost
 
 
@@ -56,15 +62,15 @@
 
 async def test_another_incarnation_proves_the_end(watched: Watched) -> None:
     lost = watched.lose()
-    watched.watch.replaced()
+    watched.exit_detector.replaced()
     assert watched.ended == [lost]
 
 
 async def test_answer_to_what_was_sent_later_disproves_it(watched: Watched) -> None:
     watched.lose()
     watched.clock.advance(0.1)
-    watched.watch.answered(FIRST, watched.clock.now())
-    watched.watch.replaced()
+    watched.exit_detector.answered(FIRST, watched.clock.now())
+    watched.exit_detector.replaced()
     assert watched.ended == []
 
 
@@ -72,23 +78,23 @@
     sent_at = watched.clock.now()
     watched.clock.advance(0.1)
     lost = watched.lose()
-    watched.watch.answered(FIRST, sent_at)
-    watched.watch.answered(SECOND, watched.clock.now() + 1.0)
-    watched.watch.replaced()
+    watched.exit_detector.answered(FIRST, sent_at)
+    watched.exit_detector.answered(SECOND, watched.clock.now() + 1.0)
+    watched.exit_detector.replaced()
     assert watched.ended == [lost]
 
 
 async def test_planned_end_is_held_against_nothing(watched: Watched) -> None:
     watched.announce(sequence=2, draining=True)
     watched.lose()
-    watched.watch.replaced()
+    watched.exit_detector.replaced()
     assert watched.ended == []
 
 
 async def test_loss_long_before_the_end_has_nothing_to_do_with_it(watched: Watched) -> None:
     watched.lose()
     watched.clock.advance(PENDING_SECONDS + 1.0)
-    watched.watch.replaced()
+    watched.exit_detector.replaced()
     assert watched.ended == []
 
 
@@ -97,5 +103,5 @@
         watched.lose()
     watched.clock.advance(PENDING_SECONDS + 1.0)
     lost = watched.lose()
-    watched.watch.replaced()
+    watched.exit_detector.replaced()
     assert watched.ended == [lost]
--- a/tests/beside/test_repeat_limit.py
+++ b/tests/local_backend/test_repeat_limit.py
@@ -3,16 +3,16 @@
 from dataclasses import dataclass
 from dataclasses import field
 
-from hoisthook.beside.repeat_limit import MAX_CLOSED_SECONDS
-from hoisthook.beside.repeat_limit import RepeatLimit
 from hoisthook.identity import NodeId
 from hoisthook.identity import RequestId
 from hoisthook.identity import RouteName
+from hoisthook.local_backend.repeat_limit import MAX_CLOSED_SECONDS
+from hoisthook.local_backend.repeat_limit import RepeatLimit
 from hoisthook.result_code import ResultCode
 from hoisthook.retry.arrival import Arrival
 from hoisthook.retry.arrival_budget import RetrySettings
-from hoisthook.retry.idle_share import UNKNOWN
-from hoisthook.retry.idle_share import IdleSighting
+from hoisthook.retry.idle_tracker import UNKNOWN
+from hoisthook.retry.idle_tracker import IdleObservation
 from standin.mesh_system import ListLog
 from tests.fakes import FakeClock
 
@@ -22,13 +22,13 @@
 @dataclass
 class Nodes:
     ids: list[NodeId] = field(default_factory=lambda: [ME])
-    is_whole: bool = True
+    is_complete: bool = True
 
     @property
     def digest(self) -> int:
         return len(self.ids)
 
-    def beside_same_service(self) -> list[NodeId]:
+    def nodes_of_own_service(self) -> list[NodeId]:
         return self.ids
 
 
@@ -36,7 +36,7 @@
 class Request:
     arrival: Arrival = Arrival.FIRST
     route: RouteName = field(default=RouteName("route"))
-    sighting: IdleSighting = UNKNOWN
+    idle_observation: IdleObservation = UNKNOWN
     by_repeat: float = 0.0
     request_id: RequestId = field(default=RequestId("r"))
 
@@ -52,12 +52,12 @@
 
 def test_nothing_accrues_before_all_nodes_are_known() -> None:
     clock = FakeClock()
-    nodes = Nodes(is_whole=False)
+    nodes = Nodes(is_complete=False)
     fresh = limit(nodes, clock)
     fresh.arrives(Request())
     clock.advance(100.0)
     assert repeats(fresh) == 0
-    nodes.is_whole = True
+    nodes.is_complete = True
     fresh.arrives(Request())
     clock.advance(100.0)
     assert repeats(fresh) == 10
@@ -116,7 +116,7 @@
 def test_status_adds_up_what_arrived_and_what_was_counted() -> None:
     clock = FakeClock()
     told = limit(Nodes(), clock)
-    told.arrives(Request(sighting=IdleSighting(1.0, is_idle=True)))
+    told.arrives(Request(idle_observation=IdleObservation(1.0, is_idle=True)))
     told.arrives(Request(by_repeat=0.25, route=RouteName("called")))
     clock.advance(100.0)
     assert repeats(told, 3) == 3
@@ -131,7 +131,7 @@
     clock = FakeClock()
     told = limit(Nodes(), clock)
     for _ in range(1000):
-        told.arrives(Request(sighting=IdleSighting(1.0, is_idle=True)))
+        told.arrives(Request(idle_observation=IdleObservation(1.0, is_idle=True)))
     before = told.status().arrived
     told.arrives(request := Request(by_repeat=1.0))
     assert request.by_repeat < 0.1
@@ -143,7 +143,7 @@
     called = limit(Nodes(), clock)
     asked = RouteName("asked")
     for _ in range(100):
-        called.arrives(Request(route=asked, sighting=IdleSighting(1.0, is_idle=True)))
+        called.arrives(Request(route=asked, idle_observation=IdleObservation(1.0, is_idle=True)))
     for _ in range(10):
         called.arrives(Request(by_repeat=1.0))
     assert called.owes_for(Request())
--- a/tests/membership/test_news_log.py
+++ b/tests/membership/test_change_log.py
@@ -4,8 +4,8 @@
 from hypothesis import strategies as st
 
 from hoisthook.identity import NodeId
-from hoisthook.membership.news_log import COMPACT_BEYOND_ENTRIES
-from hoisthook.membership.news_log import NewsLog
+from hoisthook.membership.change_log import COMPACT_BEYOND_ENTRIES
+from hoisthook.membership.change_log import ChangeLog
 
 STEPS = st.lists(st.tuples(st.sampled_from("abcdef"), st.booleans()), max_size=200)
 
@@ -14,7 +14,7 @@
 def test_what_came_since_a_revision_is_told_once_and_what_is_gone_is_not(
     steps: list[tuple[str, bool]], revision: int
 ) -> None:
-    news = NewsLog()
+    news = ChangeLog()
     revision_by_node: dict[str, int] = {}
     for name, added in steps:
         if added:
@@ -28,7 +28,7 @@
 
 
 def test_entries_stay_few_however_often_a_node_changes() -> None:
-    news = NewsLog()
+    news = ChangeLog()
     for _ in range(10_000):
         news.note(NodeId("a"))
     assert len(news._entries) <= COMPACT_BEYOND_ENTRIES + 3
--- a/tests/membership/test_asker_tree.py
+++ b/tests/membership/test_poll_tree.py
@@ -11,9 +11,9 @@
 from hoisthook.identity import DataCentre
 from hoisthook.identity import NodeId
 from hoisthook.identity import ServiceName
-from hoisthook.membership.asker_tree import CHILDREN
-from hoisthook.membership.asker_tree import places_to_ask
-from hoisthook.membership.asker_tree import ranked
+from hoisthook.membership.poll_tree import CHILDREN
+from hoisthook.membership.poll_tree import poll_positions
+from hoisthook.membership.poll_tree import ranked
 from hoisthook.mesh.peer import Peer
 
 
@@ -29,7 +29,7 @@
     for place in range(nodes):
         steps = 0
         asked = place
-        while asking := places_to_ask(asked, 2):
+        while asking := poll_positions(asked, 2):
             # The longer of the two ways.
             asked = max(asking)
             steps += 1
@@ -39,14 +39,14 @@
 
 @pytest.mark.parametrize("nodes", [23, 100, 830, 5000])
 def test_nobody_is_asked_by_many_however_many_there_are(nodes: int) -> None:
-    askers = Counter(asked for place in range(nodes) for asked in places_to_ask(place, 2))
+    askers = Counter(asked for place in range(nodes) for asked in poll_positions(place, 2))
     # Each asks two in turn, so that half of its questions come here.
     assert max(askers.values()) <= 2 * CHILDREN
 
 
 @given(st.integers(0, 10_000), st.integers(1, 4))
 def test_who_is_asked_stands_before_the_asker(place: int, readers: int) -> None:
-    asked = places_to_ask(place, readers)
+    asked = poll_positions(place, readers)
     assert all(0 <= other < place for other in asked)
     assert bool(asked) is (place >= readers)
 
--- a/tests/mesh/test_admission.py
+++ b/tests/mesh/test_admission.py
@@ -73,27 +73,27 @@
         peer.close()
 
 
-async def entry_with(
+async def ingress_with(
     system: MeshSystem, peers: list[OddPeer], odd: OddPeer, *, safe: bool
 ) -> tuple[Machine, Machine]:
     """Return an entry whose nearest node of the service is ``odd``, and a sound node far away."""
     peers.append(odd)
-    entry = await system.add("front")
+    ingress = await system.add("front")
     sound = await system.add("shop", data_centre="two")
     system.introduce_all()
     me = Peer(NodeId("odd"), await odd.start(), ServiceName("shop"), DataCentre("one"))
-    entry.node.directory.merge([me], "test")
+    ingress.node.directory.merge([me], "test")
     system.publish(1, RouteOptions("shop", safe=safe))
     await system.until_configured(1)
-    return entry, sound
+    return ingress, sound
 
 
 async def test_request_that_may_not_be_repeated_leaves_a_silent_node_for_another(
     system: MeshSystem, odd_peers: list[OddPeer]
 ) -> None:
     odd = OddPeer()
-    entry, sound = await entry_with(system, odd_peers, odd, safe=False)
-    status, _, body = await system.call(entry, method=b"POST", body=BODY, request_id="once")
+    ingress, sound = await ingress_with(system, odd_peers, odd, safe=False)
+    status, _, body = await system.call(ingress, method=b"POST", body=BODY, request_id="once")
     assert (status, body) == (200, b"body of once")
     assert [run.body for run in sound.backend.arrivals] == [BODY]
     assert odd.received
@@ -104,8 +104,8 @@
     system: MeshSystem, odd_peers: list[OddPeer]
 ) -> None:
     odd = OddPeer(drops=True)
-    entry, sound = await entry_with(system, odd_peers, odd, safe=False)
-    status, _, _ = await system.call(entry, method=b"POST", body=BODY)
+    ingress, sound = await ingress_with(system, odd_peers, odd, safe=False)
+    status, _, _ = await system.call(ingress, method=b"POST", body=BODY)
     assert status == 200
     assert len(sound.backend.arrivals) == 1
 
@@ -114,8 +114,8 @@
     system: MeshSystem, odd_peers: list[OddPeer]
 ) -> None:
     odd = OddPeer()
-    entry, sound = await entry_with(system, odd_peers, odd, safe=False)
-    status, _, _ = await system.call(entry, method=b"DELETE")
+    ingress, sound = await ingress_with(system, odd_peers, odd, safe=False)
+    status, _, _ = await system.call(ingress, method=b"DELETE")
     assert status == 200
     assert len(sound.backend.arrivals) == 1
     assert not odd.received.endswith(b"0\r\n\r\n")
@@ -125,8 +125,8 @@
     system: MeshSystem, odd_peers: list[OddPeer]
 ) -> None:
     odd = OddPeer()
-    entry, sound = await entry_with(system, odd_peers, odd, safe=True)
-    status, _, _ = await system.call(entry)
+    ingress, sound = await ingress_with(system, odd_peers, odd, safe=True)
+    status, _, _ = await system.call(ingress)
     assert status == 200
     assert len(sound.backend.arrivals) == 1
 
@@ -136,10 +136,10 @@
     system: MeshSystem, odd_peers: list[OddPeer], attempts: int
 ) -> None:
     odd = OddPeer(drops=True)
-    entry, sound = await entry_with(system, odd_peers, odd, safe=True)
+    ingress, sound = await ingress_with(system, odd_peers, odd, safe=True)
     system.publish(2, RouteOptions("shop", attempts=attempts))
     await system.until_configured(2)
-    status, _, _ = await system.call(entry)
+    status, _, _ = await system.call(ingress)
     assert status == 200
     assert len(sound.backend.arrivals) == 1
     assert system.log.named("extra_try") == []
@@ -149,10 +149,10 @@
     system: MeshSystem, odd_peers: list[OddPeer]
 ) -> None:
     odd = OddPeer()
-    entry, sound = await entry_with(system, odd_peers, odd, safe=True)
+    ingress, sound = await ingress_with(system, odd_peers, odd, safe=True)
     system.publish(2, RouteOptions("shop", attempts=1))
     await system.until_configured(2)
-    status, _, _ = await system.call(entry, method=b"POST", body=BODY)
+    status, _, _ = await system.call(ingress, method=b"POST", body=BODY)
     assert status == 200
     assert BODY not in odd.received
     assert len(sound.backend.arrivals) == 1
@@ -164,10 +164,10 @@
 ) -> None:
     system.retry = MeshRetrySettings(extra=0.0)
     odd = OddPeer()
-    entry, sound = await entry_with(system, odd_peers, odd, safe=True)
+    ingress, sound = await ingress_with(system, odd_peers, odd, safe=True)
     system.publish(2, RouteOptions("shop", attempts=3))
     await system.until_configured(2)
-    status, _, _ = await system.call(entry)
+    status, _, _ = await system.call(ingress)
     # Served although nothing is left for other repeats: it may be owed.
     assert status == 200
     assert len(sound.backend.arrivals) == 1
@@ -181,15 +181,15 @@
 ) -> None:
     monkeypatch.setattr("hoisthook.mesh.peer.FIRST_BACKOFF_SECONDS", 0.0)
     odd = OddPeer()
-    entry, sound = await entry_with(system, odd_peers, odd, safe=True)
+    ingress, sound = await ingress_with(system, odd_peers, odd, safe=True)
     system.publish(2, RouteOptions("shop", attempts=3))
     await system.until_configured(2)
-    assert (await system.call(entry, method=b"POST", body=BODY))[0] == 200
+    assert (await system.call(ingress, method=b"POST", body=BODY))[0] == 200
     assert odd.received.count(BODY) == 1
-    (view,) = [v for v in entry.node.directory.others() if v.peer.node == "odd"]
+    (view,) = [v for v in ingress.node.directory.others() if v.peer.node == "odd"]
     view.connected()
     view.closed_until = 0.0
-    assert (await system.call(entry, method=b"POST", body=BODY))[0] == 200
+    assert (await system.call(ingress, method=b"POST", body=BODY))[0] == 200
     assert odd.received.count(b"POST /x ") == 2
     assert odd.received.count(BODY) == 1
     assert len(sound.backend.arrivals) == 2
@@ -200,9 +200,9 @@
     system: MeshSystem, odd_peers: list[OddPeer]
 ) -> None:
     odd = OddPeer(drops=True)
-    entry, sound = await entry_with(system, odd_peers, odd, safe=True)
+    ingress, sound = await ingress_with(system, odd_peers, odd, safe=True)
     sound.backend.fault = Fault.SHED
-    await system.call(entry)
+    await system.call(ingress)
     assert [line["admitted"] for line in system.log.named("hop_lost")] == [False]
     (answered,) = system.log.named("answered")
     assert answered["arrived"] == 2
@@ -213,10 +213,10 @@
 ) -> None:
     monkeypatch.setattr("hoisthook.mesh.admitted_exchange.ADMISSION_SECONDS", 5.0)
     odd = OddPeer()
-    entry, sound = await entry_with(system, odd_peers, odd, safe=True)
+    ingress, sound = await ingress_with(system, odd_peers, odd, safe=True)
     system.publish(2, RouteOptions("shop", target=0.8, timeout=20.0))
     await system.until_configured(2)
-    status, _, _ = await system.call(entry, deadline_ms=20000)
+    status, _, _ = await system.call(ingress, deadline_ms=20000)
     assert status == 200
     assert len(sound.backend.arrivals) == 1
 
@@ -225,9 +225,9 @@
     system: MeshSystem, odd_peers: list[OddPeer]
 ) -> None:
     odd = OddPeer()
-    entry, _ = await entry_with(system, odd_peers, odd, safe=False)
+    ingress, _ = await ingress_with(system, odd_peers, odd, safe=False)
     for _ in range(5):
-        assert (await system.call(entry, method=b"POST", body=BODY))[0] == 200
+        assert (await system.call(ingress, method=b"POST", body=BODY))[0] == 200
     assert odd.connections == 1
 
 
@@ -239,9 +239,9 @@
         b"hoisthook-retry-after-ms: 1\r\ncontent-length: 0\r\n\r\n"
     )
     odd = OddPeer(answer=refusal)
-    entry, _ = await entry_with(system, odd_peers, odd, safe=False)
+    ingress, _ = await ingress_with(system, odd_peers, odd, safe=False)
     for _ in range(3):
-        assert (await system.call(entry, method=b"POST", body=BODY))[0] == 200
+        assert (await system.call(ingress, method=b"POST", body=BODY))[0] == 200
         await asyncio.sleep(0.1)
     assert odd.received.count(b"POST ") > 1
     assert odd.received.count(b"POST ") == odd.received.count(b"0\r\n\r\n")
@@ -250,7 +250,7 @@
 
 
 async def test_node_does_not_run_a_request_whose_sender_has_left(system: MeshSystem) -> None:
-    entry = await system.add("front")
+    ingress = await system.add("front")
     server = await system.add("shop")
     reader, writer = await asyncio.open_connection(*server.node.peers_address)
     writer.write(
@@ -266,7 +266,7 @@
     system.introduce_all()
     system.publish(1, RouteOptions("shop"))
     await system.until_configured(1)
-    assert (await system.call(entry))[0] == 200
+    assert (await system.call(ingress))[0] == 200
 
 
 async def test_body_that_stands_still_gives_its_slot_back(
@@ -315,18 +315,18 @@
 ) -> None:
     monkeypatch.setattr("hoisthook.mesh.admitted_exchange.MIN_ADMISSION_SECONDS", 0.05)
     monkeypatch.setattr("hoisthook.mesh.admitted_exchange.ADMISSION_SHARE_OF_TARGET", 0.0)
-    entry = await system.add("front")
+    ingress = await system.add("front")
     server = await system.add("shop", slots=1)
     system.introduce_all()
     system.publish(1, RouteOptions("shop", target=2.0, timeout=20.0))
     await system.until_configured(1)
     server.backend.work_seconds = 0.4
-    first = asyncio.create_task(system.call(entry))
+    first = asyncio.create_task(system.call(ingress))
     async with asyncio.timeout(10.0):
         while not server.backend.running:
             await asyncio.sleep(0.001)
     # It waits for eight times as long as a node may be silent.
-    assert (await system.call(entry))[0] == 200
+    assert (await system.call(ingress))[0] == 200
     assert (await first)[0] == 200
     assert not system.log.named("hop_lost")
     assert len(server.backend.arrivals) == 2
@@ -337,11 +337,11 @@
 ) -> None:
     """Links that take longer than the silence that is borne: what was sent arrives all the same."""
     first, second = OddPeer(), OddPeer()
-    entry, sound = await entry_with(system, odd_peers, first, safe=True)
+    ingress, sound = await ingress_with(system, odd_peers, first, safe=True)
     odd_peers.append(second)
     other = Peer(NodeId("odd-2"), await second.start(), ServiceName("shop"), DataCentre("one"))
-    entry.node.directory.merge([other], "test")
-    status, _, _ = await system.call(entry, method=b"POST", body=BODY)
+    ingress.node.directory.merge([other], "test")
+    status, _, _ = await system.call(ingress, method=b"POST", body=BODY)
     assert status == 200
     assert len(sound.backend.arrivals) == 1
     # Two attempts are allowed: the sound one, and one that may run late.
--- a/tests/mesh/test_cold_backend.py
+++ b/tests/mesh/test_cold_backend.py
@@ -23,32 +23,32 @@
     return max((bisect_right(times, at + 1.0) - n for n, at in enumerate(times)), default=0)
 
 
-async def entries_and_server(system: MeshSystem) -> tuple[list[Machine], Machine]:
+async def ingresses_and_server(system: MeshSystem) -> tuple[list[Machine], Machine]:
     system.cold = COLD
-    entries = [await system.add("front") for _ in range(3)]
+    ingresses = [await system.add("front") for _ in range(3)]
     server = await system.add("shop", slots=100)
     system.introduce_all()
     system.publish(1, RouteOptions("shop", cold_per_second=PER_SECOND))
     await system.until_configured(1)
     # The first second of a node counts as full.
     await asyncio.sleep(1.2)
-    return entries, server
+    return ingresses, server
 
 
-async def press(system: MeshSystem, entries: list[Machine]) -> list[int]:
+async def press(system: MeshSystem, ingresses: list[Machine]) -> list[int]:
     """Send many requests over two seconds; return their statuses."""
     calls = []
     for number in range(REQUESTS):
-        calls.append(asyncio.create_task(system.call(entries[number % len(entries)])))
+        calls.append(asyncio.create_task(system.call(ingresses[number % len(ingresses)])))
         await asyncio.sleep(2.0 / REQUESTS)
     return [status for status, _, _ in await asyncio.gather(*calls)]
 
 
 async def test_announced_cold_server_gets_no_more_than_it_bears(system: MeshSystem) -> None:
-    entries, server = await entries_and_server(system)
+    ingresses, server = await ingresses_and_server(system)
     server.backend.cold_seconds = 30.0
     await server.beat()
-    statuses = await press(system, entries)
+    statuses = await press(system, ingresses)
     times = server.backend.arrival_times
     assert most_in_a_second(times) <= BOUND
     # And it is used as far as it bears.
@@ -57,27 +57,27 @@
 
 
 async def test_server_that_turns_cold_unannounced_gets_no_more(system: MeshSystem) -> None:
-    entries, server = await entries_and_server(system)
-    await press(system, entries)
+    ingresses, server = await ingresses_and_server(system)
+    await press(system, ingresses)
     server.backend.arrival_times.clear()
     server.backend.cold_seconds = 30.0
-    await press(system, entries)
+    await press(system, ingresses)
     assert most_in_a_second(server.backend.arrival_times) <= BOUND
 
 
 async def test_health_that_is_refused_does_not_say_that_it_is_warm(system: MeshSystem) -> None:
-    entries, server = await entries_and_server(system)
+    ingresses, server = await ingresses_and_server(system)
     server.backend.cold_seconds = 30.0
     await server.beat()
     server.backend.healthy = False
-    await press(system, entries)
+    await press(system, ingresses)
     assert server.backend.health_reads
     assert most_in_a_second(server.backend.arrival_times) <= BOUND
 
 
 async def test_warm_server_serves_all(system: MeshSystem) -> None:
-    entries, server = await entries_and_server(system)
-    assert set(await press(system, entries)) == {200}
+    ingresses, server = await ingresses_and_server(system)
+    assert set(await press(system, ingresses)) == {200}
     assert most_in_a_second(server.backend.arrival_times) > BOUND
     # Its health is read once for as many requests as it would bear cold.
     assert server.backend.health_reads <= 3 * REQUESTS / BOUND
@@ -86,15 +86,15 @@
 async def test_node_that_starts_again_does_not_give_it_as_much_once_more(
     system: MeshSystem,
 ) -> None:
-    entries, server = await entries_and_server(system)
+    ingresses, server = await ingresses_and_server(system)
     server.backend.cold_seconds = 30.0
     await server.beat()
-    await press(system, entries)
+    await press(system, ingresses)
     sent = len(server.backend.arrivals)
     server.crash()
     system.machines.remove(server)
     again = await system.add("shop", backend=server.backend)
     system.introduce_all()
-    await press(system, entries)
+    await press(system, ingresses)
     assert again.backend.arrivals[sent:]
     assert most_in_a_second(server.backend.arrival_times) <= BOUND
--- a/tests/mesh/test_configuration_watch.py
+++ b/tests/mesh/test_configuration_watch.py
@@ -121,15 +121,15 @@
 async def test_node_that_knows_nobody_learns_from_the_first_request_that_a_peer_sends(
     system: MeshSystem,
 ) -> None:
-    entry = await system.add("front")
+    ingress = await system.add("front")
     system.publish(1, RouteOptions("shop"))
     await system.until_configured(1)
     system.store.outage = Outage.BUSY
     server = await system.add("shop")
     # On the platform, peers' ports are the same on all instances.
-    server.node.sync.peer_port = entry.node.peers_address[1]
-    entry.node.directory.merge([server.node.directory.me], "test")
-    status, _, _ = await system.call(entry)
+    server.node.sync.peer_port = ingress.node.peers_address[1]
+    ingress.node.directory.merge([server.node.directory.me], "test")
+    status, _, _ = await system.call(ingress)
     assert status == 200
     await asyncio.wait_for(system.until_configured(1), 3.0)
 
--- a/tests/mesh/test_crash_news.py
+++ b/tests/mesh/test_crash_notifier.py
@@ -5,17 +5,17 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from hoisthook.beside.crash_watch import CrashWatch
-from hoisthook.beside.end_watch import LostRun
 from hoisthook.identity import DataCentre
 from hoisthook.identity import InstanceId
 from hoisthook.identity import NodeId
 from hoisthook.identity import RequestId
 from hoisthook.identity import ServiceName
 from hoisthook.identity import WorkId
-from hoisthook.mesh import crash_news
+from hoisthook.local_backend.crash_monitor import CrashMonitor
+from hoisthook.local_backend.exit_detector import LostRequest
+from hoisthook.mesh import crash_notifier
 from hoisthook.mesh import crash_records
-from hoisthook.mesh.crash_news import CrashNews
+from hoisthook.mesh.crash_notifier import CrashNotifier
 from hoisthook.mesh.crash_records import CrashRecords
 from hoisthook.mesh.peer import Peer
 from hoisthook.mesh.peer_directory import PeerDirectory
@@ -68,9 +68,9 @@
 async def test_all_of_the_service_are_told_until_each_has_heard(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(crash_news, "FIRST_PAUSE_SECONDS", 0.001)
+    monkeypatch.setattr(crash_notifier, "FIRST_PAUSE_SECONDS", 0.001)
     sync = SilentAtFirst({"10.0.0.2": 3})
-    news = CrashNews(directory_of_four(), sync, LoopClock())  # type: ignore[arg-type]
+    news = CrashNotifier(directory_of_four(), sync, LoopClock())  # type: ignore[arg-type]
     news.tell()
     async with asyncio.timeout(10.0):
         await sync.all_told.wait()
@@ -80,9 +80,9 @@
 async def test_what_is_new_does_not_wait_for_one_that_is_silent(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(crash_news, "FIRST_PAUSE_SECONDS", 600.0)
+    monkeypatch.setattr(crash_notifier, "FIRST_PAUSE_SECONDS", 600.0)
     sync = SilentAtFirst({"10.0.0.2": 1})
-    news = CrashNews(directory_of_four(), sync, LoopClock())  # type: ignore[arg-type]
+    news = CrashNotifier(directory_of_four(), sync, LoopClock())  # type: ignore[arg-type]
     news.tell()
     while len(sync.told) < 2:
         await asyncio.sleep(0)
@@ -105,9 +105,9 @@
         return 0
 
 
-def blamed_for_three_ends(clock: FakeClock) -> tuple[CrashEvidence, CrashWatch]:
+def blamed_for_three_ends(clock: FakeClock) -> tuple[CrashEvidence, CrashMonitor]:
     evidence = CrashEvidence(ListLog())
-    return evidence, CrashWatch(SHOP, evidence, clock)
+    return evidence, CrashMonitor(SHOP, evidence, clock)
 
 
 async def test_record_is_kept_for_as_long_as_the_work_is_refused(
@@ -116,16 +116,18 @@
     async def pass_time(seconds: float) -> None:
         clock.advance(seconds)
 
-    evidence, watch = blamed_for_three_ends(clock)
+    evidence, crash_monitor = blamed_for_three_ends(clock)
     store = StoredRecords()
-    records = CrashRecords("t", store, evidence, watch, clock, ListLog(), wall=clock.now)  # type: ignore[arg-type]
+    records = CrashRecords("t", store, evidence, crash_monitor, clock, ListLog(), wall=clock.now)  # type: ignore[arg-type]
     monkeypatch.setattr(crash_records.asyncio, "sleep", pass_time)
     for life in range(3):
-        watch.ended([LostRun(RequestId("q"), WORK, InstanceId(f"i-{life}"), clock.now())])
+        crash_monitor.ended(
+            [LostRequest(RequestId("q"), WORK, InstanceId(f"i-{life}"), clock.now())]
+        )
     await store.written.wait()
     (key, value), *_ = store.value_by_key.items()
     another = CrashEvidence(ListLog())
-    reader = CrashRecords("t", store, another, watch, clock, ListLog(), wall=clock.now)  # type: ignore[arg-type]
+    reader = CrashRecords("t", store, another, crash_monitor, clock, ListLog(), wall=clock.now)  # type: ignore[arg-type]
     assert reader.take(KeyedRecord(key, value))
     while store.value_by_key[key]:
         await asyncio.wait([asyncio.ensure_future(store.written.wait())])
@@ -134,9 +136,9 @@
 
 
 async def test_record_that_cannot_be_read_is_told_and_passed_over(clock: FakeClock) -> None:
-    evidence, watch = blamed_for_three_ends(clock)
+    evidence, crash_monitor = blamed_for_three_ends(clock)
     log = ListLog()
-    records = CrashRecords("t", StoredRecords(), evidence, watch, clock, log)  # type: ignore[arg-type]
+    records = CrashRecords("t", StoredRecords(), evidence, crash_monitor, clock, log)  # type: ignore[arg-type]
     for value in (b"", b"{}", b"\xff", b'{"at":1,"reports":[{"work":1}]}'):
         assert records.take(KeyedRecord("crash/x", value))
     assert len(log.named("crash_record_unreadable")) == 4
--- a/tests/mesh/test_crashing_requests.py
+++ b/tests/mesh/test_crashing_requests.py
@@ -31,24 +31,24 @@
 
 CRASHING = "/jobs/crashing"
 SERVERS = 4
-ENTRIES = 3
+INGRESSES = 3
 ROUNDS = 12
 # The third end is the first proof; two more may be under way before all have heard of it.
 MOST_ENDED = 5
 
 
-async def entries_and_servers(
+async def ingresses_and_servers(
     system: MeshSystem, *, safe: bool = True
 ) -> tuple[list[Machine], list[Machine]]:
     """Return entries and the machines of a service that ends under one request."""
-    entries = [await system.add("front", data_centre=f"c{n % 2}") for n in range(ENTRIES)]
+    ingresses = [await system.add("front", data_centre=f"c{n % 2}") for n in range(INGRESSES)]
     shops = [await system.add("shop", data_centre=f"c{n % 2}") for n in range(SERVERS)]
     system.introduce_all()
     system.publish(1, RouteOptions("shop", attempts=3, safe=safe, target=20.0, timeout=30.0))
     await system.until_configured(1)
     for shop in shops:
         shop.backend.crash_on(CRASHING.encode())
-    return entries, shops
+    return ingresses, shops
 
 
 async def bring_back(system: MeshSystem, shops: list[Machine]) -> None:
@@ -70,12 +70,12 @@
 
 
 async def test_work_that_ends_backend_servers_is_not_sent_on_for_ever(system: MeshSystem) -> None:
-    entries, shops = await entries_and_servers(system)
+    ingresses, shops = await ingresses_and_servers(system)
     for number in range(ROUNDS):
-        status, _, _ = await system.call(entries[number % ENTRIES], CRASHING)
+        status, _, _ = await system.call(ingresses[number % INGRESSES], CRASHING)
         assert status in (502, 503)
         await bring_back(system, shops)
-        status, _, _ = await system.call(entries[number % ENTRIES], f"/jobs/{number}")
+        status, _, _ = await system.call(ingresses[number % INGRESSES], f"/jobs/{number}")
         assert status == 200
     assert crashes(shops) <= MOST_ENDED
 
@@ -87,12 +87,12 @@
 
 
 async def send_until_refused(
-    system: MeshSystem, entry: Machine, shops: list[Machine], method: bytes = b"GET"
+    system: MeshSystem, ingress: Machine, shops: list[Machine], method: bytes = b"GET"
 ) -> None:
     """Send the crashing work until all nodes of the service know of three ends."""
     body = b"some body" if method == b"POST" else b""
     for _ in range(ROUNDS):
-        await system.call(entry, CRASHING, method=method, body=body)
+        await system.call(ingress, CRASHING, method=method, body=body)
         await bring_back(system, shops)
         if refusals(system):
             break
@@ -100,30 +100,30 @@
 
 
 async def test_work_that_may_not_be_repeated_is_known_by_its_body(system: MeshSystem) -> None:
-    entries, shops = await entries_and_servers(system, safe=False)
-    await send_until_refused(system, entries[0], shops, b"POST")
+    ingresses, shops = await ingresses_and_servers(system, safe=False)
+    await send_until_refused(system, ingresses[0], shops, b"POST")
     before = crashes(shops)
-    status, _, _ = await system.call(entries[1], CRASHING, method=b"POST", body=b"some body")
+    status, _, _ = await system.call(ingresses[1], CRASHING, method=b"POST", body=b"some body")
     assert (status, crashes(shops)) == (503, before)
     for shop in shops:
         shop.backend.crash_on(b"/nothing")
-    status, _, _ = await system.call(entries[1], CRASHING, method=b"POST", body=b"another body")
+    status, _, _ = await system.call(ingresses[1], CRASHING, method=b"POST", body=b"another body")
     assert status == 200
 
 
 async def test_refusal_of_one_node_holds_for_all(system: MeshSystem) -> None:
-    entries, shops = await entries_and_servers(system)
-    await send_until_refused(system, entries[0], shops)
+    ingresses, shops = await ingresses_and_servers(system)
+    await send_until_refused(system, ingresses[0], shops)
     before = len(system.log.named("not_admitted"))
-    await system.call(entries[1], CRASHING)
+    await system.call(ingresses[1], CRASHING)
     assert system.log.named("answered")[-1]["tries"] == 1
     assert len(system.log.named("not_admitted")) == before + 1
 
 
 async def test_it_is_refused_while_the_store_is_away(system: MeshSystem) -> None:
-    entries, shops = await entries_and_servers(system)
+    ingresses, shops = await ingresses_and_servers(system)
     system.store.outage = Outage.RESET
-    await send_until_refused(system, entries[0], shops)
+    await send_until_refused(system, ingresses[0], shops)
     assert crashes(shops) <= MOST_ENDED
 
 
@@ -132,8 +132,8 @@
 
 
 async def test_node_that_starts_again_hears_of_it_from_others(system: MeshSystem) -> None:
-    entries, shops = await entries_and_servers(system)
-    await send_until_refused(system, entries[0], shops)
+    ingresses, shops = await ingresses_and_servers(system)
+    await send_until_refused(system, ingresses[0], shops)
     await until(lambda: bool(crash_records(system)))
     for key in crash_records(system):
         system.store.put(NODES_TOPIC, key, b"")
@@ -144,12 +144,12 @@
 
 
 async def test_it_is_still_known_after_a_restart_of_all(system: MeshSystem) -> None:
-    entries, shops = await entries_and_servers(system)
-    await send_until_refused(system, entries[0], shops)
+    ingresses, shops = await ingresses_and_servers(system)
+    await send_until_refused(system, ingresses[0], shops)
     await until(lambda: bool(crash_records(system)))
-    for machine in [*entries, *shops]:
+    for machine in [*ingresses, *shops]:
         machine.crash()
-    started = [await system.start_again(machine) for machine in [*entries, *shops]]
+    started = [await system.start_again(machine) for machine in [*ingresses, *shops]]
     for machine in started:
         assert await machine.beat() == 200
     await until(lambda: all(m.node.crashes.evidence.refused == 1 for m in started))
@@ -160,10 +160,10 @@
 
 
 async def test_node_that_was_cut_off_is_told_once_it_is_back(system: MeshSystem) -> None:
-    entries, shops = await entries_and_servers(system)
+    ingresses, shops = await ingresses_and_servers(system)
     shops[-1].node._peers.stop_listening()
     for _ in range(ROUNDS):
-        await system.call(entries[0], CRASHING)
+        await system.call(ingresses[0], CRASHING)
         await bring_back(system, shops)
     assert shops[-1].node.crashes.evidence.refused <= 1
     await shops[-1].node._peers.start()
@@ -171,12 +171,12 @@
 
 
 async def test_loss_of_power_is_held_against_no_work(system: MeshSystem) -> None:
-    entries, shops = await entries_and_servers(system)
+    ingresses, shops = await ingresses_and_servers(system)
     lost = [shop for shop in shops if shop.node.directory.me.data_centre == "c0"]
     for shop in shops:
         shop.backend.fault = Fault.HANG
     sent = [
-        asyncio.create_task(system.call(entries[0], f"/jobs/{n}", deadline_ms=300))
+        asyncio.create_task(system.call(ingresses[0], f"/jobs/{n}", deadline_ms=300))
         for n in range(8)
     ]
     await until(lambda: all(shop.backend.running for shop in lost))
@@ -187,34 +187,34 @@
     for shop in shops:
         shop.backend.fault = Fault.NONE
     for n in range(8):
-        status, _, _ = await system.call(entries[0], f"/jobs/{n}")
+        status, _, _ = await system.call(ingresses[0], f"/jobs/{n}")
         assert status == 200
     assert not any(len(machine.node.crashes.evidence) for machine in system.machines)
 
 
 async def test_server_that_drops_connections_has_not_ended(system: MeshSystem) -> None:
-    entries, shops = await entries_and_servers(system)
+    ingresses, shops = await ingresses_and_servers(system)
     for number in range(8):
         for shop in shops:
             shop.backend.fault = Fault.RESET
-        status, _, _ = await system.call(entries[0], "/jobs/dropped")
+        status, _, _ = await system.call(ingresses[0], "/jobs/dropped")
         assert status in (502, 503)
         for shop in shops:
             shop.backend.fault = Fault.NONE
-        status, _, _ = await system.call(entries[0], f"/jobs/{number}")
+        status, _, _ = await system.call(ingresses[0], f"/jobs/{number}")
         assert status == 200
     assert not system.log.named("backend_ended")
     assert not refusals(system)
 
 
 async def test_what_ran_beside_it_is_served(system: MeshSystem) -> None:
-    entries, shops = await entries_and_servers(system)
+    ingresses, shops = await ingresses_and_servers(system)
     for shop in shops:
         shop.backend.work_seconds = 0.02
     served = 0
     for number in range(ROUNDS):
-        sent = [system.call(entries[n % 3], f"/jobs/{number}/{n}") for n in range(6)]
-        answers = await asyncio.gather(system.call(entries[0], CRASHING), *sent)
+        sent = [system.call(ingresses[n % 3], f"/jobs/{number}/{n}") for n in range(6)]
+        answers = await asyncio.gather(system.call(ingresses[0], CRASHING), *sent)
         served += sum(status == 200 for status, _, _ in answers[1:])
         await bring_back(system, shops)
     assert refusals(system)
--- a/tests/mesh/test_dropping_backend.py
+++ b/tests/mesh/test_dropping_backend.py
@@ -4,8 +4,8 @@
 
 from hoisthook.admission import work_times
 from hoisthook.identity import InstanceId
-from hoisthook.mesh import backend_belief
-from hoisthook.mesh.backend_belief import BackendBelief
+from hoisthook.mesh import observed_backend
+from hoisthook.mesh.observed_backend import ObservedBackend
 from standin.mesh_backend import Fault
 from standin.mesh_system import ListLog
 from standin.published_configuration import RouteOptions
@@ -17,40 +17,40 @@
     from standin.mesh_system import MeshSystem
 
 
-async def entry_and_shop(system: MeshSystem) -> tuple[Machine, Machine]:
-    entry = await system.add("front")
+async def ingress_and_shop(system: MeshSystem) -> tuple[Machine, Machine]:
+    ingress = await system.add("front")
     shop = await system.add("shop")
     system.introduce_all()
     system.publish(1, RouteOptions("shop", safe=False, target=20.0, timeout=30.0))
     await system.until_configured(1)
     shop.backend.fault = Fault.RESET
     shop.backend.work_seconds = 0.0
-    return entry, shop
+    return ingress, shop
 
 
 async def test_backend_server_that_drops_what_it_is_sent_is_left_alone(
     system: MeshSystem, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(backend_belief, "FIRST_DROPPED_SECONDS", 600.0)
-    monkeypatch.setattr(backend_belief, "MAX_DROPPED_SECONDS", 600.0)
-    entry, shop = await entry_and_shop(system)
-    while (await system.call(entry, method=b"POST"))[0] == 502:
+    monkeypatch.setattr(observed_backend, "FIRST_DROPPED_SECONDS", 600.0)
+    monkeypatch.setattr(observed_backend, "MAX_DROPPED_SECONDS", 600.0)
+    ingress, shop = await ingress_and_shop(system)
+    while (await system.call(ingress, method=b"POST"))[0] == 502:
         pass
     arrivals = len(shop.backend.arrivals)
     for _ in range(5):
-        assert (await system.call(entry, method=b"POST"))[0] == 503
+        assert (await system.call(ingress, method=b"POST"))[0] == 503
     assert len(shop.backend.arrivals) == arrivals
 
 
 async def test_backend_server_that_answers_in_between_is_not_left_alone(
     system: MeshSystem,
 ) -> None:
-    entry, shop = await entry_and_shop(system)
+    ingress, shop = await ingress_and_shop(system)
     for _ in range(6):
         shop.backend.fault = Fault.RESET
-        assert (await system.call(entry, method=b"POST"))[0] == 502
+        assert (await system.call(ingress, method=b"POST"))[0] == 502
         shop.backend.fault = Fault.NONE
-        assert (await system.call(entry, method=b"POST"))[0] == 200
+        assert (await system.call(ingress, method=b"POST"))[0] == 200
     assert not system.log.named("backend_unreachable")
 
 
@@ -59,35 +59,35 @@
 ) -> None:
     # Nothing is learned of the work here, so that each reset comes early in it.
     monkeypatch.setattr(work_times, "WARM_COUNT", 100)
-    entry, shop = await entry_and_shop(system)
+    ingress, shop = await ingress_and_shop(system)
     for _ in range(5):
         shop.backend.fault = Fault.NONE
-        assert (await system.call(entry, method=b"POST"))[0] == 200
+        assert (await system.call(ingress, method=b"POST"))[0] == 200
         shop.backend.fault = Fault.RESET
-        assert (await system.call(entry, method=b"POST"))[0] == 502
+        assert (await system.call(ingress, method=b"POST"))[0] == 502
         assert not shop.node.link._pool._idle_by_address
     assert not system.log.named("backend_unreachable")
 
 
 def test_time_alone_doubles_up_to_the_most_and_begins_anew_after_an_answer() -> None:
     log = ListLog()
-    belief = BackendBelief(log)
-    belief.answered_as(InstanceId("i-1"))
+    observed_backend = ObservedBackend(log)
+    observed_backend.answered_as(InstanceId("i-1"))
     now = 0.0
     for _ in range(7):
-        belief.dropped(now)
-        now = max(now, belief.closed_until)
-    belief.answered(failed=False)
+        observed_backend.dropped(now)
+        now = max(now, observed_backend.closed_until)
+    observed_backend.answered(failed=False)
     for _ in range(3):
-        belief.dropped(now)
-        now = max(now, belief.closed_until)
+        observed_backend.dropped(now)
+        now = max(now, observed_backend.closed_until)
     told = [line["closed_for"] for line in log.named("backend_unreachable")]
     assert told == [0.15, 0.3, 0.6, 0.6, 0.6, 0.15]
 
 
 def test_requests_that_were_under_way_together_count_once() -> None:
     log = ListLog()
-    belief = BackendBelief(log)
+    observed_backend = ObservedBackend(log)
     for _ in range(9):
-        belief.dropped(1.0)
+        observed_backend.dropped(1.0)
     assert [line["closed_for"] for line in log.named("backend_unreachable")] == [0.15]
--- a/tests/mesh/test_evacuation.py
+++ b/tests/mesh/test_evacuation.py
@@ -25,15 +25,15 @@
 TWO = DataCentre("two")
 
 
-async def entry_and_two_servers(system: MeshSystem) -> tuple[Machine, Machine, Machine]:
+async def ingress_and_two_servers(system: MeshSystem) -> tuple[Machine, Machine, Machine]:
     """Return an entry, a backend server near it and one far away."""
-    entry = await system.add("front")
+    ingress = await system.add("front")
     near = await system.add("shop")
     far = await system.add("shop", data_centre="two")
     system.introduce_all()
     system.publish(1, RouteOptions("shop"))
     await system.until_configured(1)
-    return entry, near, far
+    return ingress, near, far
 
 
 async def until_known(system: MeshSystem, *data_centres: DataCentre) -> None:
@@ -42,11 +42,11 @@
 
 
 async def test_nothing_goes_there_until_it_is_taken_back(system: MeshSystem) -> None:
-    entry, near, far = await entry_and_two_servers(system)
+    ingress, near, far = await ingress_and_two_servers(system)
     system.evacuate("one")
     await until_known(system, ONE)
     for _ in range(5):
-        status, _, _ = await system.call(entry)
+        status, _, _ = await system.call(ingress)
         assert status == 200
     assert (len(near.backend.arrivals), len(far.backend.arrivals)) == (0, 5)
     # Whoever knows of it does not ask there in vain.
@@ -54,28 +54,28 @@
     system.restore("one")
     await until_known(system)
     await until(lambda: near.node.link.evacuated is False)
-    status, _, _ = await system.call(entry)
+    status, _, _ = await system.call(ingress)
     assert status == 200
     assert len(near.backend.arrivals) == 1
 
 
 async def test_calls_that_begin_there_still_go_out(system: MeshSystem) -> None:
-    entry, _, far = await entry_and_two_servers(system)
+    ingress, _, far = await ingress_and_two_servers(system)
     system.evacuate("one")
     await until_known(system, ONE)
-    assert entry.node.ready
-    status, _, _ = await system.call(entry)
+    assert ingress.node.ready
+    status, _, _ = await system.call(ingress)
     assert status == 200
     assert far.backend.arrivals[-1].headers[b"x-caller-service"] == b"front"
 
 
 async def test_request_is_refused_at_once_where_nowhere_is_left(system: MeshSystem) -> None:
-    entry, near, far = await entry_and_two_servers(system)
+    ingress, near, far = await ingress_and_two_servers(system)
     system.evacuate("one")
     system.evacuate("two")
     await until_known(system, ONE, TWO)
     begun = asyncio.get_running_loop().time()
-    status, headers, _ = await system.call(entry)
+    status, headers, _ = await system.call(ingress)
     assert status == 503
     assert float(headers[b"retry-after"]) > 0
     # Far below the target of one second.
@@ -85,17 +85,17 @@
 
 
 async def test_sender_that_has_not_heard_of_it_is_turned_away_beside(system: MeshSystem) -> None:
-    entry, near, far = await entry_and_two_servers(system)
+    ingress, near, far = await ingress_and_two_servers(system)
     near.node.evacuations.offer(1000, [ONE], ConfigurationSource.PEER)
-    status, _, _ = await system.call(entry)
+    status, _, _ = await system.call(ingress)
     assert status == 200
     assert (len(near.backend.arrivals), len(far.backend.arrivals)) == (0, 1)
 
 
 async def test_work_in_progress_ends_and_waiting_work_leaves(system: MeshSystem) -> None:
-    entry, near, _ = await entry_and_two_servers(system)
+    ingress, near, _ = await ingress_and_two_servers(system)
     near.backend.work_seconds = 0.3
-    running = asyncio.create_task(system.call(entry, request_id="running"))
+    running = asyncio.create_task(system.call(ingress, request_id="running"))
     await until(lambda: near.backend.running == 1)
     system.evacuate("one")
     await until_known(system, ONE)
@@ -106,7 +106,7 @@
 
 async def test_request_whose_body_arrives_after_it_is_not_sent(system: MeshSystem) -> None:
     """As with a slow link between the node that admits and the one that sends the body."""
-    entry, near, _ = await entry_and_two_servers(system)
+    ingress, near, _ = await ingress_and_two_servers(system)
     link = near.node.link
     connect = link._exchanges.connect
 
@@ -116,7 +116,7 @@
         return connection
 
     link._exchanges.connect = evacuated_meanwhile  # type: ignore[assignment, method-assign]
-    status, _, _ = await system.call(entry)
+    status, _, _ = await system.call(ingress)
     assert status == 200
     assert not near.backend.arrivals
 
@@ -124,7 +124,7 @@
 async def test_node_that_starts_later_knows_it_and_so_does_one_after_a_restart_of_all(
     system: MeshSystem,
 ) -> None:
-    await entry_and_two_servers(system)
+    await ingress_and_two_servers(system)
     system.evacuate("two")
     await until_known(system, TWO)
     for machine in system.machines:
@@ -138,7 +138,7 @@
 
 
 async def test_node_that_the_store_turns_away_hears_of_it_from_peers(system: MeshSystem) -> None:
-    _, near, _ = await entry_and_two_servers(system)
+    _, near, _ = await ingress_and_two_servers(system)
     system.store.outage = Outage.BUSY
     later = await system.add("front", data_centre="three")
     system.introduce_all()
@@ -150,7 +150,7 @@
     system: MeshSystem, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(configuration_watch, "MAX_WAIT_SECONDS", 1.0)
-    entry, _, _ = await entry_and_two_servers(system)
+    ingress, _, _ = await ingress_and_two_servers(system)
     system.evacuate("two")
     await until_known(system, TWO)
     for machine in system.machines:
@@ -158,11 +158,11 @@
     system.restore("two")
     system.store.forget("keyed.op")
     await until_known(system)
-    assert not entry.node.evacuations.data_centres
+    assert not ingress.node.evacuations.data_centres
 
 
 async def test_it_costs_the_store_no_more_calls(system: MeshSystem) -> None:
-    await entry_and_two_servers(system)
+    await ingress_and_two_servers(system)
     reads = system.store.calls.count("log-newest")
     system.evacuate("one")
     await until_known(system, ONE)
--- a/tests/mesh/test_incarnations.py
+++ b/tests/mesh/test_incarnations.py
@@ -10,9 +10,9 @@
 
 from hoisthook.identity import InstanceId
 from hoisthook.membership.backend_incarnation import BackendIncarnation
-from hoisthook.mesh.backend_belief import Announcement
-from hoisthook.mesh.backend_belief import BackendBelief
-from hoisthook.mesh.backend_belief import BackendState
+from hoisthook.mesh.observed_backend import Announcement
+from hoisthook.mesh.observed_backend import BackendState
+from hoisthook.mesh.observed_backend import ObservedBackend
 from standin.mesh_system import ListLog
 from standin.published_configuration import RouteOptions
 
@@ -28,40 +28,40 @@
 
 
 def test_drain_of_a_later_life_is_heard_though_its_count_is_lower() -> None:
-    belief = BackendBelief(ListLog())
-    belief.announced(announcement(EARLIER, 400))
-    belief.announced(announcement(LATER, 1))
-    assert belief.announced(announcement(LATER, 2, draining=True))
-    assert belief.state is BackendState.DRAINING
+    observed_backend = ObservedBackend(ListLog())
+    observed_backend.announced(announcement(EARLIER, 400))
+    observed_backend.announced(announcement(LATER, 1))
+    assert observed_backend.announced(announcement(LATER, 2, draining=True))
+    assert observed_backend.state is BackendState.DRAINING
 
 
 def test_later_life_is_not_bound_by_the_farewell_of_the_one_before() -> None:
-    belief = BackendBelief(ListLog())
-    belief.announced(announcement(EARLIER, 400))
-    belief.deregistered(BackendIncarnation(SAME, EARLIER))
-    belief.announced(announcement(LATER, 1))
-    assert belief.takes_work
+    observed_backend = ObservedBackend(ListLog())
+    observed_backend.announced(announcement(EARLIER, 400))
+    observed_backend.deregistered(BackendIncarnation(SAME, EARLIER))
+    observed_backend.announced(announcement(LATER, 1))
+    assert observed_backend.takes_work
 
 
 def test_late_words_of_the_dead_change_nothing() -> None:
-    belief = BackendBelief(ListLog())
-    belief.announced(announcement(LATER, 1))
-    assert not belief.announced(announcement(EARLIER, 401, draining=True))
-    belief.deregistered(BackendIncarnation(SAME, EARLIER))
-    assert belief.takes_work
+    observed_backend = ObservedBackend(ListLog())
+    observed_backend.announced(announcement(LATER, 1))
+    assert not observed_backend.announced(announcement(EARLIER, 401, draining=True))
+    observed_backend.deregistered(BackendIncarnation(SAME, EARLIER))
+    assert observed_backend.takes_work
 
 
 def test_what_was_known_of_the_one_before_is_dropped() -> None:
-    belief = BackendBelief(ListLog())
+    observed_backend = ObservedBackend(ListLog())
     replaced: list[bool] = []
-    belief.on_replaced(lambda: replaced.append(True))
-    belief.announced(announcement(EARLIER, 400))
+    observed_backend.on_replaced(lambda: replaced.append(True))
+    observed_backend.announced(announcement(EARLIER, 400))
     for _ in range(10):
-        belief.answered(failed=True)
-    belief.unreachable(0.0, 100.0)
-    belief.announced(announcement(LATER, 1))
-    assert belief.failing == 0.0
-    assert belief.closed_until < 0.0
+        observed_backend.answered(failed=True)
+    observed_backend.unreachable(0.0, 100.0)
+    observed_backend.announced(announcement(LATER, 1))
+    assert observed_backend.failing == 0.0
+    assert observed_backend.closed_until < 0.0
     assert len(replaced) == 2
 
 
@@ -80,15 +80,15 @@
         # A life under an id of its own that has left for good.
         messages.append(BackendIncarnation(other, EARLIER - 1))
     expected = _last_state(messages)
-    belief = BackendBelief(ListLog())
+    observed_backend = ObservedBackend(ListLog())
     for message in data.draw(st.permutations(messages)):
         if isinstance(message, Announcement):
-            belief.announced(message)
+            observed_backend.announced(message)
         else:
-            belief.deregistered(message)
+            observed_backend.deregistered(message)
     if other == SAME:
-        assert belief.instance == SAME
-        assert belief.state is expected
+        assert observed_backend.instance == SAME
+        assert observed_backend.state is expected
 
 
 def _last_state(messages: list[Announcement | BackendIncarnation]) -> BackendState:
@@ -102,7 +102,7 @@
 
 
 async def test_server_that_starts_again_under_its_id_serves_and_drains(system: MeshSystem) -> None:
-    entry = await system.add("front")
+    ingress = await system.add("front")
     server = await system.add("shop", announced=False)
     system.introduce_all()
     system.publish(1, RouteOptions("shop"))
@@ -111,13 +111,13 @@
     for _ in range(5):
         await server.beat()
     await server.backend.leave(server.endpoints.announcements_address)
-    assert (await system.call(entry))[0] == 503
+    assert (await system.call(ingress))[0] == 503
     server.backend.start_again(LATER)
     await server.beat()
     async with asyncio.timeout(5.0):
-        while (await system.call(entry))[0] != 200:
+        while (await system.call(ingress))[0] != 200:
             await asyncio.sleep(0.05)
     served = len(server.backend.arrivals)
     await server.beat("draining")
-    assert (await system.call(entry))[0] == 503
+    assert (await system.call(ingress))[0] == 503
     assert len(server.backend.arrivals) == served
--- a/tests/mesh/test_key_lease.py
+++ b/tests/mesh/test_key_lease.py
@@ -69,5 +69,5 @@
     await running(system)
     system.store.outage = Outage.BUSY
     machine = system.machines[0]
-    machine.node._entry._lease._seconds = seconds
+    machine.node._ingress._lease._seconds = seconds
     assert (await system.call(machine, key="key"))[0] == 200
--- a/tests/mesh/test_leaving.py
+++ b/tests/mesh/test_leaving.py
@@ -6,19 +6,19 @@
 import pytest
 
 from hoisthook.adapter.http.call_server import CallServer
-from hoisthook.beside.repeat_limit import RepeatLimit
 from hoisthook.identity import InstanceId
 from hoisthook.identity import RequestId
 from hoisthook.identity import RouteName
 from hoisthook.identity import ServiceName
 from hoisthook.identity import parse_address
+from hoisthook.local_backend.repeat_limit import RepeatLimit
 from hoisthook.membership.backend_incarnation import BackendIncarnation
 from hoisthook.mesh import mesh_node
 from hoisthook.mesh import peer_hop
-from hoisthook.mesh.backend_belief import Announcement
-from hoisthook.mesh.backend_belief import BackendBelief
 from hoisthook.mesh.hop_header import Admission
-from hoisthook.mesh.outcome import WholeAnswer
+from hoisthook.mesh.observed_backend import Announcement
+from hoisthook.mesh.observed_backend import ObservedBackend
+from hoisthook.mesh.outcome import CompleteAnswer
 from hoisthook.mesh.routed_call import RoutedCall
 from hoisthook.node.call import Refused
 from hoisthook.result_code import ResultCode
@@ -29,7 +29,7 @@
 from standin.published_configuration import RouteOptions
 
 if TYPE_CHECKING:
-    from hoisthook.beside.repeat_limit import Try
+    from hoisthook.local_backend.repeat_limit import Try
     from standin.mesh_system import Machine
     from standin.mesh_system import MeshSystem
 
@@ -54,15 +54,15 @@
 async def test_stopping_node_finishes_what_runs_and_admits_nothing_more(
     system: MeshSystem,
 ) -> None:
-    entry, server = await shops(system, 1, safe=False)
+    ingress, server = await shops(system, 1, safe=False)
     server.backend.work_seconds = 0.5
-    running = asyncio.create_task(system.call(entry, method=b"POST", request_id="runs"))
+    running = asyncio.create_task(system.call(ingress, method=b"POST", request_id="runs"))
     await server.backend.arrived.wait()
     closing = asyncio.create_task(server.node.close())
     while not server.node.link.stopping:
         await asyncio.sleep(0)
     assert not server.node.ready
-    status, _, _ = await system.call(entry, method=b"POST", request_id="late")
+    status, _, _ = await system.call(ingress, method=b"POST", request_id="late")
     assert status == 503
     assert (await running)[0] == 200
     assert await closing
@@ -73,13 +73,13 @@
     system: MeshSystem, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(mesh_node, "LEAVING_SECONDS", 0.2)
-    entry, first, second = await shops(system, 2)
+    ingress, first, second = await shops(system, 2)
     closing = asyncio.create_task(first.node.close())
     await asyncio.sleep(0)
-    assert (await system.call(entry))[0] == 200
+    assert (await system.call(ingress))[0] == 200
     assert first.backend.runs == []
     assert await second.beat("draining") == 200
-    assert (await system.call(entry))[0] == 200
+    assert (await system.call(ingress))[0] == 200
     assert len(first.backend.runs) == 1
     assert await closing
 
@@ -87,10 +87,10 @@
 async def test_stopping_node_still_serves_its_callers_and_tells_them_to_leave(
     system: MeshSystem,
 ) -> None:
-    entry, _ = await shops(system, 1)
-    closing = asyncio.create_task(entry.node.close())
+    ingress, _ = await shops(system, 1)
+    closing = asyncio.create_task(ingress.node.close())
     await asyncio.sleep(0)
-    status, headers, _ = await system.call(entry)
+    status, headers, _ = await system.call(ingress)
     assert (status, headers[b"connection"]) == (200, b"close")
     assert await closing
 
@@ -98,16 +98,16 @@
 async def test_request_that_waits_for_a_slot_goes_elsewhere_when_its_backend_server_drains(
     system: MeshSystem,
 ) -> None:
-    entry, first, second = await shops(system, 2)
+    ingress, first, second = await shops(system, 2)
     system.publish(2, RouteOptions("shop", target=2.0, timeout=20.0))
     await system.until_configured(2)
     for machine in (first, second):
         machine.backend.go_on.clear()
-    calls = [asyncio.create_task(system.call(entry)) for _ in range(8)]
+    calls = [asyncio.create_task(system.call(ingress)) for _ in range(8)]
     async with asyncio.timeout(10.0):
         while first.backend.running + second.backend.running < 8:
             await asyncio.sleep(0.005)
-    waiting = asyncio.create_task(system.call(entry))
+    waiting = asyncio.create_task(system.call(ingress))
     async with asyncio.timeout(10.0):
         while not first.node.link.gate.waiting + second.node.link.gate.waiting:
             await asyncio.sleep(0.001)
@@ -124,10 +124,10 @@
 async def test_no_more_backend_servers_run_a_request_than_its_route_allows(
     system: MeshSystem,
 ) -> None:
-    entry, *servers = await shops(system, 3)
+    ingress, *servers = await shops(system, 3)
     for server in servers:
         server.backend.fault = Fault.ERROR
-    status, _, _ = await system.call(entry)
+    status, _, _ = await system.call(ingress)
     assert status == 500
     assert sum(len(server.backend.runs) for server in servers) == 2
 
@@ -135,7 +135,7 @@
 async def test_refusal_after_a_lost_try_is_not_called_not_run(
     system: MeshSystem, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    entry, near, far = await shops(system, 2)
+    ingress, near, far = await shops(system, 2)
     near.backend.fault = Fault.RESET
     far.backend.fault = Fault.RESET
     refuse = RepeatLimit.refuse
@@ -147,21 +147,21 @@
         return refuse(limit, call)
 
     monkeypatch.setattr(RepeatLimit, "refuse", refuse_second)
-    status, _, _ = await system.call(entry)
+    status, _, _ = await system.call(ingress)
     assert len(near.backend.arrivals) + len(far.backend.arrivals) == 2
     assert status == 502
 
 
 async def test_budget_bounds_the_extra_tries_of_a_service_that_fails(system: MeshSystem) -> None:
     system.retry = MeshRetrySettings(window_seconds=0.1, extra=30.0)
-    entry, *servers = await shops(system, 3)
+    ingress, *servers = await shops(system, 3)
     for server in servers:
         server.backend.fault = Fault.ERROR
     calls = 600
     clock = asyncio.get_running_loop()
     begun = clock.time()
     for _ in range(calls):
-        await system.call(entry)
+        await system.call(ingress)
     windows = (clock.time() - begun) / system.retry.window_seconds + 1
     # The part for reruns: the calls of a repeated request count as repeats where they go.
     allowed = RERUN_SHARE * (calls * system.retry.ratio + windows * system.retry.extra)
@@ -171,24 +171,24 @@
 
 
 async def test_replaced_node_at_the_same_address_is_used_again(system: MeshSystem) -> None:
-    entry, server = await shops(system, 1)
-    assert (await system.call(entry))[0] == 200
+    ingress, server = await shops(system, 1)
+    assert (await system.call(ingress))[0] == 200
     server.crash()
-    assert (await system.call(entry))[0] in (502, 503)
+    assert (await system.call(ingress))[0] in (502, 503)
     address = parse_address(server.node.settings.listen.peers)
     server.node._peers = CallServer(address, server.node._serve_peer)
     await server.node._peers.start()
     async with asyncio.timeout(5.0):
-        while (await system.call(entry))[0] != 200:
+        while (await system.call(ingress))[0] != 200:
             await asyncio.sleep(0.02)
 
 
 async def test_hop_that_is_cut_after_the_request_left_is_not_called_not_run(
     system: MeshSystem,
 ) -> None:
-    entry, server = await shops(system, 1, safe=False)
+    ingress, server = await shops(system, 1, safe=False)
     server.backend.work_seconds = 30.0
-    running = asyncio.create_task(system.call(entry, method=b"POST"))
+    running = asyncio.create_task(system.call(ingress, method=b"POST"))
     await server.backend.arrived.wait()
     server.crash()
     status, _, _ = await running
@@ -199,11 +199,11 @@
 async def test_silent_node_costs_one_connection_timeout_and_is_then_left_alone(
     system: MeshSystem, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    entry, _ = await shops(system, 1)
+    ingress, _ = await shops(system, 1)
     near = await system.add("shop", data_centre="one")
     system.introduce_all()
     opened: list[object] = []
-    real = entry.node._peer_pool.open
+    real = ingress.node._peer_pool.open
 
     async def silent(address: tuple[str, int], timeout: float) -> object:
         opened.append(address)
@@ -212,28 +212,28 @@
             raise peer_hop.UnreachableError("silent")
         return await real(address, timeout)
 
-    monkeypatch.setattr(entry.node._peer_pool, "open", silent)
+    monkeypatch.setattr(ingress.node._peer_pool, "open", silent)
     for _ in range(10):
-        assert (await system.call(entry))[0] == 200
+        assert (await system.call(ingress))[0] == 200
     assert opened.count(near.node.peers_address) == 1
 
 
 async def test_drained_backend_server_is_used_again_once_it_is_ready(system: MeshSystem) -> None:
-    entry, server = await shops(system, 1)
+    ingress, server = await shops(system, 1)
     assert await server.beat("draining") == 200
-    assert (await system.call(entry))[0] == 503
+    assert (await system.call(ingress))[0] == 503
     assert await server.beat("ready") == 200
-    assert (await system.call(entry))[0] == 200
+    assert (await system.call(ingress))[0] == 200
 
 
 async def test_forgotten_peers_are_found_again_in_the_store(system: MeshSystem) -> None:
-    entry, _ = await shops(system, 1)
+    ingress, _ = await shops(system, 1)
     async with asyncio.timeout(5.0):
         while len(system.log.named("registered")) < 2:
             await asyncio.sleep(0.01)
-    entry.node.directory.forget("node-2", "test")  # type: ignore[arg-type]
-    await entry.node._registration._read()
-    assert len(list(entry.node.directory.serving(ServiceName("shop")))) == 1
+    ingress.node.directory.forget("node-2", "test")  # type: ignore[arg-type]
+    await ingress.node._registration._read()
+    assert len(list(ingress.node.directory.serving(ServiceName("shop")))) == 1
 
 
 def announcement(instance: str, sequence: int, *, draining: bool = False) -> Announcement:
@@ -242,32 +242,32 @@
 
 def test_late_heartbeat_of_an_incarnation_unknown_here_is_undone_by_an_answer() -> None:
     """As after a restart of the node: it knows nothing of the incarnation before."""
-    belief = BackendBelief(ListLog())
-    belief.announced(announcement("new", 5))
-    belief.announced(announcement("dead", 90))
-    belief.answered_as(InstanceId("new"))
-    assert belief.instance == "new"
-    assert belief.takes_work
-    belief.announced(announcement("new", 6, draining=True))
-    assert not belief.takes_work
+    observed_backend = ObservedBackend(ListLog())
+    observed_backend.announced(announcement("new", 5))
+    observed_backend.announced(announcement("dead", 90))
+    observed_backend.answered_as(InstanceId("new"))
+    assert observed_backend.instance == "new"
+    assert observed_backend.takes_work
+    observed_backend.announced(announcement("new", 6, draining=True))
+    assert not observed_backend.takes_work
 
 
 def test_answer_does_not_undo_the_drain_of_the_incarnation_that_gives_it() -> None:
-    belief = BackendBelief(ListLog())
-    belief.announced(announcement("new", 5, draining=True))
-    belief.announced(announcement("dead", 90))
-    belief.answered_as(InstanceId("new"))
-    assert belief.instance == "new"
-    assert not belief.takes_work
+    observed_backend = ObservedBackend(ListLog())
+    observed_backend.announced(announcement("new", 5, draining=True))
+    observed_backend.announced(announcement("dead", 90))
+    observed_backend.answered_as(InstanceId("new"))
+    assert observed_backend.instance == "new"
+    assert not observed_backend.takes_work
 
 
 def test_answer_does_not_bring_back_an_incarnation_that_has_said_farewell() -> None:
-    belief = BackendBelief(ListLog())
-    belief.announced(announcement("old", 5))
-    belief.deregistered(BackendIncarnation(InstanceId("old")))
-    belief.announced(announcement("new", 1))
-    belief.answered_as(InstanceId("old"))
-    assert belief.instance == "new"
+    observed_backend = ObservedBackend(ListLog())
+    observed_backend.announced(announcement("old", 5))
+    observed_backend.deregistered(BackendIncarnation(InstanceId("old")))
+    observed_backend.announced(announcement("new", 1))
+    observed_backend.answered_as(InstanceId("old"))
+    assert observed_backend.instance == "new"
 
 
 async def test_node_started_beside_a_draining_server_admits_nothing_before_it_can_ask(
@@ -296,4 +296,4 @@
     assert outcome.code is ResultCode.CONFIGURATION_MISSING
     assert shop.backend.arrivals == []
     assert await shop.beat() == 200
-    assert isinstance(await shop.node.link.run(call, Admission.DIRECT), WholeAnswer)
+    assert isinstance(await shop.node.link.run(call, Admission.DIRECT), CompleteAnswer)
--- a/tests/mesh/test_leaving_entry.py
+++ b/tests/mesh/test_leaving_entry.py
@@ -28,15 +28,15 @@
         asyncio.get_running_loop().call_later(SILENT_SECONDS, go_ahead, exchange)
 
     monkeypatch.setattr(ServerExchange, "go_ahead", late)
-    entry = await system.add("front")
+    ingress = await system.add("front")
     server = await system.add("shop")
     system.introduce_all()
     system.publish(1, RouteOptions("shop", target=0.3))
     await system.until_configured(1)
     server.backend.work_seconds = 2 * SILENT_SECONDS
-    closing = asyncio.create_task(entry.node.close())
-    await until(lambda: entry.node.stopping)
-    status, _, _ = await system.call(entry)
+    closing = asyncio.create_task(ingress.node.close())
+    await until(lambda: ingress.node.stopping)
+    status, _, _ = await system.call(ingress)
     assert status == 200
     assert len(server.backend.runs) == 1
     assert server.backend.cancelled == []
--- a/tests/mesh/test_path.py
+++ b/tests/mesh/test_path.py
@@ -16,19 +16,19 @@
 
 async def two_services(system: MeshSystem, *, safe: bool = True) -> tuple[Machine, Machine]:
     """Return an entry beside another service, and the node that serves the route."""
-    entry = await system.add("front")
+    ingress = await system.add("front")
     server = await system.add("shop")
     system.introduce_all()
     system.publish(1, RouteOptions("shop", safe=safe))
     await system.until_configured(1)
-    return entry, server
+    return ingress, server
 
 
 async def test_request_reaches_the_routes_service_and_its_answer_comes_back(
     system: MeshSystem,
 ) -> None:
-    entry, server = await two_services(system)
-    status, headers, body = await system.call(entry, "/x/1?y=2", request_id="abc")
+    ingress, server = await two_services(system)
+    status, headers, body = await system.call(ingress, "/x/1?y=2", request_id="abc")
     assert (status, body) == (200, b"body of abc")
     assert headers[b"x-response-signature"] == b"sound"
     (arrival,) = server.backend.arrivals
@@ -41,16 +41,16 @@
 
 
 async def test_body_is_handed_on_unchanged(system: MeshSystem) -> None:
-    entry, server = await two_services(system, safe=False)
+    ingress, server = await two_services(system, safe=False)
     body = bytes(range(256)) * 100
-    status, _, _ = await system.call(entry, method=b"POST", body=body)
+    status, _, _ = await system.call(ingress, method=b"POST", body=body)
     assert status == 200
     assert server.backend.arrivals[0].body == body
 
 
 async def test_what_a_caller_says_of_its_service_is_replaced(system: MeshSystem) -> None:
-    entry, server = await two_services(system)
-    reader, writer = await asyncio.open_connection(*entry.node.callers_address)
+    ingress, server = await two_services(system)
+    reader, writer = await asyncio.open_connection(*ingress.node.callers_address)
     writer.write(
         b"GET /x HTTP/1.1\r\nhost: a.example\r\nx-request-id: q\r\nx-caller-service: liar\r\n"
         b"x-expect-instance: liar\r\n\r\n"
@@ -72,18 +72,18 @@
 
 
 async def test_unknown_route_is_answered_404(system: MeshSystem) -> None:
-    entry, _ = await two_services(system)
-    status, _, _ = await system.call(entry, host="b.example")
+    ingress, _ = await two_services(system)
+    status, _, _ = await system.call(ingress, host="b.example")
     assert status == 404
 
 
 async def test_no_backend_server_is_answered_503_with_when_to_come_back(
     system: MeshSystem,
 ) -> None:
-    entry = await system.add("front")
+    ingress = await system.add("front")
     system.publish(1, RouteOptions("shop"))
     await system.until_configured(1)
-    status, headers, _ = await system.call(entry)
+    status, headers, _ = await system.call(ingress)
     assert status == 503
     assert float(headers[b"retry-after"]) > 0
 
@@ -91,7 +91,7 @@
 async def test_request_with_a_short_target_waits_until_a_slot_is_free(
     system: MeshSystem,
 ) -> None:
-    entry = await system.add("front")
+    ingress = await system.add("front")
     server = await system.add("shop", slots=1)
     system.introduce_all()
     system.publish(
@@ -101,11 +101,11 @@
     )
     await system.until_configured(1)
     server.backend.work_seconds = 0.2
-    long = asyncio.create_task(system.call(entry, path="/long/x"))
+    long = asyncio.create_task(system.call(ingress, path="/long/x"))
     async with asyncio.timeout(10.0):
         while not server.backend.running:
             await asyncio.sleep(0.001)
-    assert (await system.call(entry))[0] == 200
+    assert (await system.call(ingress))[0] == 200
     assert (await long)[0] == 200
 
 
@@ -115,12 +115,12 @@
 async def test_spoiled_answer_to_an_unsafe_request_is_502_and_is_not_sent_again(
     system: MeshSystem, fault: Fault
 ) -> None:
-    entry, server = await two_services(system, safe=False)
+    ingress, server = await two_services(system, safe=False)
     other = await system.add("shop")
     system.introduce_all()
     server.backend.fault = fault
     other.backend.fault = fault
-    status, headers, _ = await system.call(entry, method=b"POST")
+    status, headers, _ = await system.call(ingress, method=b"POST")
     assert status == 502
     assert b"x-response-signature" not in headers
     assert len(server.backend.runs) + len(other.backend.runs) == 1
@@ -130,53 +130,53 @@
 async def test_failed_safe_request_is_tried_at_another_backend_server(
     system: MeshSystem, fault: Fault
 ) -> None:
-    entry, server = await two_services(system)
+    ingress, server = await two_services(system)
     other = await system.add("shop", data_centre="two")
     system.introduce_all()
     server.backend.fault = fault
-    status, _, _ = await system.call(entry)
+    status, _, _ = await system.call(ingress)
     assert status == 200
     assert len(other.backend.runs) == 1
 
 
 async def test_promise_without_proof_is_not_handed_on_as_a_promise(system: MeshSystem) -> None:
-    entry, server = await two_services(system, safe=False)
+    ingress, server = await two_services(system, safe=False)
     server.backend.fault = Fault.PROMISE_WITHOUT_PROOF
-    status, _, _ = await system.call(entry, method=b"POST")
+    status, _, _ = await system.call(ingress, method=b"POST")
     assert status == 502
 
 
 async def test_request_that_a_backend_server_sheds_goes_to_another(system: MeshSystem) -> None:
-    entry, server = await two_services(system, safe=False)
+    ingress, server = await two_services(system, safe=False)
     other = await system.add("shop", data_centre="two")
     system.introduce_all()
     server.backend.fault = Fault.SHED
-    status, _, _ = await system.call(entry, method=b"POST")
+    status, _, _ = await system.call(ingress, method=b"POST")
     assert status == 200
     assert (server.backend.runs, len(other.backend.runs)) == ([], 1)
 
 
 async def test_answer_without_length_ends_with_its_connection(system: MeshSystem) -> None:
-    entry, server = await two_services(system)
+    ingress, server = await two_services(system)
     server.backend.fault = Fault.NO_LENGTH
-    status, headers, body = await system.call(entry, request_id="q")
+    status, headers, body = await system.call(ingress, request_id="q")
     assert (status, body) == (200, b"body of q")
     assert headers[b"content-length"] == b"%d" % len(body)
 
 
 async def test_answer_to_another_request_is_passed_over(system: MeshSystem) -> None:
-    entry, server = await two_services(system)
+    ingress, server = await two_services(system)
     server.backend.fault = Fault.FOREIGN_FIRST
-    status, _, body = await system.call(entry, request_id="mine")
+    status, _, body = await system.call(ingress, request_id="mine")
     assert (status, body) == (200, b"body of mine")
 
 
 async def test_replaced_incarnation_is_learned_and_the_request_runs_there(
     system: MeshSystem,
 ) -> None:
-    entry, server = await two_services(system, safe=False)
+    ingress, server = await two_services(system, safe=False)
     server.backend.instance = "i-new"
-    status, _, _ = await system.call(entry, method=b"POST")
+    status, _, _ = await system.call(ingress, method=b"POST")
     assert status == 200
     assert server.backend.runs == ["q1"]
     assert [a.headers[b"x-expect-instance"] for a in server.backend.arrivals] == [b"i-2", b"i-new"]
@@ -185,9 +185,9 @@
 async def test_caller_that_leaves_cancels_its_request_beside_the_backend_server(
     system: MeshSystem,
 ) -> None:
-    entry, server = await two_services(system)
+    ingress, server = await two_services(system)
     server.backend.work_seconds = 30.0
-    calling = asyncio.create_task(system.call(entry, deadline_ms=60_000, request_id="gone"))
+    calling = asyncio.create_task(system.call(ingress, deadline_ms=60_000, request_id="gone"))
     await server.backend.arrived.wait()
     calling.cancel()
     async with asyncio.timeout(10.0):
@@ -197,29 +197,29 @@
 
 
 async def test_deadline_is_answered_504(system: MeshSystem) -> None:
-    entry, server = await two_services(system)
+    ingress, server = await two_services(system)
     server.backend.work_seconds = 30.0
-    status, _, _ = await system.call(entry, deadline_ms=100)
+    status, _, _ = await system.call(ingress, deadline_ms=100)
     assert status == 504
 
 
 async def test_routes_timeout_binds_where_the_caller_would_wait_longer(
     system: MeshSystem,
 ) -> None:
-    entry, server = await two_services(system)
+    ingress, server = await two_services(system)
     system.publish(2, RouteOptions("shop", timeout=0.1))
     await system.until_configured(2)
     server.backend.work_seconds = 30.0
-    status, _, _ = await system.call(entry, deadline_ms=60_000)
+    status, _, _ = await system.call(ingress, deadline_ms=60_000)
     assert status == 504
 
 
 async def test_draining_backend_server_gets_no_request_after_its_acknowledgement(
     system: MeshSystem,
 ) -> None:
-    entry, server = await two_services(system)
+    ingress, server = await two_services(system)
     assert await server.beat("draining") == 200
-    status, _, _ = await system.call(entry)
+    status, _, _ = await system.call(ingress)
     assert status == 503
     assert server.backend.arrivals == []
 
@@ -227,44 +227,44 @@
 async def test_deregistered_backend_server_gets_no_request_even_after_a_late_heartbeat(
     system: MeshSystem,
 ) -> None:
-    entry, server = await two_services(system)
+    ingress, server = await two_services(system)
     assert await server.backend.leave(server.endpoints.announcements_address) == 200
     assert await server.beat() == 200
-    status, _, _ = await system.call(entry)
+    status, _, _ = await system.call(ingress)
     assert status == 503
     assert server.backend.arrivals == []
 
 
 async def test_older_heartbeat_does_not_undo_a_drain(system: MeshSystem) -> None:
-    entry, server = await two_services(system)
+    ingress, server = await two_services(system)
     assert await server.beat("draining") == 200
     late = server.endpoints.announcements_address
     assert await server.backend.beat(late, sequence=1) == 200
-    status, _, _ = await system.call(entry)
+    status, _, _ = await system.call(ingress)
     assert status == 503
 
 
 async def test_restarted_node_finds_a_draining_backend_server_by_its_health(
     system: MeshSystem,
 ) -> None:
-    entry, server = await two_services(system)
+    ingress, server = await two_services(system)
     server.crash()
     server.backend.healthy = False
     again = await system.add("shop", backend=server.backend, announced=False)
     system.introduce_all()
     await system.until_configured(1)
-    status, _, _ = await system.call(entry)
+    status, _, _ = await system.call(ingress)
     assert status == 503
     assert server.backend.arrivals == []
-    assert not again.node.link.belief.takes_work
+    assert not again.node.link.observed_backend.takes_work
 
 
 async def test_no_more_than_the_limit_run_at_once_and_the_rest_is_refused_at_once(
     system: MeshSystem,
 ) -> None:
-    entry, server = await two_services(system)
+    ingress, server = await two_services(system)
     server.backend.work_seconds = 0.3
-    answers = await asyncio.gather(*(system.call(entry) for _ in range(12)))
+    answers = await asyncio.gather(*(system.call(ingress) for _ in range(12)))
     statuses = sorted(status for status, _, _ in answers)
     assert server.backend.most_running <= 4
     assert statuses[0] == 200
@@ -274,30 +274,30 @@
 
 
 async def test_slow_backend_server_hands_over_to_a_fast_one(system: MeshSystem) -> None:
-    entry, server = await two_services(system)
+    ingress, server = await two_services(system)
     other = await system.add("shop", data_centre="two")
     system.introduce_all()
     server.backend.slowdown = 400
     await server.node.link.health.read()
-    status, _, _ = await system.call(entry)
+    status, _, _ = await system.call(ingress)
     assert status == 200
     assert (server.backend.runs, len(other.backend.runs)) == ([], 1)
 
 
 async def test_slow_backend_server_runs_what_no_other_can(system: MeshSystem) -> None:
-    entry, server = await two_services(system)
+    ingress, server = await two_services(system)
     server.backend.slowdown = 400
-    status, _, _ = await system.call(entry)
+    status, _, _ = await system.call(ingress)
     assert status == 200
     assert len(server.backend.runs) == 1
 
 
 async def test_node_that_is_gone_is_passed_over(system: MeshSystem) -> None:
-    entry, server = await two_services(system, safe=False)
+    ingress, server = await two_services(system, safe=False)
     other = await system.add("shop", data_centre="two")
     system.introduce_all()
     server.crash()
-    status, _, _ = await system.call(entry, method=b"POST")
+    status, _, _ = await system.call(ingress, method=b"POST")
     assert status == 200
     assert len(other.backend.runs) == 1
     assert system.log.named("peer_unreachable")
@@ -306,34 +306,34 @@
 async def test_node_whose_address_serves_another_service_now_is_forgotten(
     system: MeshSystem,
 ) -> None:
-    entry, server = await two_services(system)
+    ingress, server = await two_services(system)
     server.node._hop_server._service = "bakery"  # type: ignore[assignment]
-    status, _, _ = await system.call(entry)
+    status, _, _ = await system.call(ingress)
     assert status == 503
     assert server.backend.arrivals == []
-    assert [view.peer.node for view in entry.node.directory.serving("shop")] == []  # type: ignore[arg-type]
+    assert [view.peer.node for view in ingress.node.directory.serving("shop")] == []  # type: ignore[arg-type]
 
 
 async def test_split_route_keeps_its_weights_and_does_not_move_what_one_part_refuses(
     system: MeshSystem,
 ) -> None:
-    entry = await system.add("front")
+    ingress = await system.add("front")
     big = await system.add("big")
     small = await system.add("small")
     system.introduce_all()
     system.publish(1, RouteOptions("", weights={"big": 90, "small": 10}))
     await system.until_configured(1)
     assert await small.beat("draining") == 200
-    statuses = [(await system.call(entry))[0] for _ in range(50)]
+    statuses = [(await system.call(ingress))[0] for _ in range(50)]
     assert statuses.count(200) == len(big.backend.runs) == 45
     assert statuses.count(503) == 5
 
 
 async def test_every_request_leaves_a_line_with_its_id_and_outcome(system: MeshSystem) -> None:
-    entry, server = await two_services(system)
-    await system.call(entry, request_id="seen")
+    ingress, server = await two_services(system)
+    await system.call(ingress, request_id="seen")
     server.backend.fault = Fault.RESET
-    await system.call(entry, request_id="lost")
+    await system.call(ingress, request_id="lost")
     lines = {line["request"]: line for line in system.log.named("answered")}
     assert lines["seen"]["code"] == ResultCode.OK.number
     assert lines["lost"]["code"] == ResultCode.ANSWER_LOST.number
@@ -342,26 +342,26 @@
 
 
 async def test_no_line_has_a_field_that_hides_who_wrote_it(system: MeshSystem) -> None:
-    entry, server = await two_services(system)
-    await system.call(entry)
+    ingress, server = await two_services(system)
+    await system.call(ingress)
     server.backend.fault = Fault.ERROR
-    await system.call(entry)
+    await system.call(ingress)
     server.crash()
-    await system.call(entry)
+    await system.call(ingress)
     for _, fields in system.log.lines:
         assert not fields.keys() & {"time", "node", "event"}
 
 
 async def test_body_beyond_the_limit_is_413(system: MeshSystem) -> None:
-    entry, server = await two_services(system, safe=False)
-    status, _, _ = await system.call(entry, method=b"POST", body=b"x" * 100_001)
+    ingress, server = await two_services(system, safe=False)
+    status, _, _ = await system.call(ingress, method=b"POST", body=b"x" * 100_001)
     assert status == 413
     assert server.backend.arrivals == []
 
 
 async def test_request_without_an_id_is_400(system: MeshSystem) -> None:
-    entry, _ = await two_services(system)
-    reader, writer = await asyncio.open_connection(*entry.node.callers_address)
+    ingress, _ = await two_services(system)
+    reader, writer = await asyncio.open_connection(*ingress.node.callers_address)
     writer.write(b"GET /x HTTP/1.1\r\nhost: a.example\r\n\r\n")
     assert (await reader.readline()).split()[1] == b"400"
     writer.close()
--- a/tests/mesh/test_pipelining.py
+++ b/tests/mesh/test_pipelining.py
@@ -16,13 +16,13 @@
 MANY = 12
 
 
-async def entry_and_server(system: MeshSystem) -> tuple[Machine, Machine]:
-    entry = await system.add("front")
+async def ingress_and_server(system: MeshSystem) -> tuple[Machine, Machine]:
+    ingress = await system.add("front")
     server = await system.add("shop", slots=20)
     system.introduce_all()
     system.publish(1, RouteOptions("shop"))
     await system.until_configured(1)
-    return entry, server
+    return ingress, server
 
 
 def request(name: str, *, deadline_ms: int = 2000, more: str = "") -> bytes:
@@ -30,8 +30,8 @@
     return f"{head}x-deadline-ms: {deadline_ms}\r\n{more}\r\n".encode()
 
 
-async def send(entry: Machine, data: bytes) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    reader, writer = await asyncio.open_connection(*entry.node.callers_address)
+async def send(ingress: Machine, data: bytes) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+    reader, writer = await asyncio.open_connection(*ingress.node.callers_address)
     writer.write(data)
     return reader, writer
 
@@ -42,10 +42,10 @@
 
 
 async def test_answers_come_in_the_order_of_the_requests(system: MeshSystem) -> None:
-    entry, server = await entry_and_server(system)
+    ingress, server = await ingress_and_server(system)
     names = [f"p{number}" for number in range(MANY)]
     last = request("last", more="connection: close\r\n")
-    reader, writer = await send(entry, b"".join(map(request, names)) + last)
+    reader, writer = await send(ingress, b"".join(map(request, names)) + last)
     answered = await read_until_closed(reader)
     writer.close()
     assert re.findall(rb"body of (\w+?)(?=HTTP|$)", answered) == [
@@ -58,9 +58,9 @@
 async def test_what_stands_behind_an_answer_that_closes_is_not_passed_on(
     system: MeshSystem,
 ) -> None:
-    entry, server = await entry_and_server(system)
+    ingress, server = await ingress_and_server(system)
     data = request("first", more="connection: close\r\n") + request("second")
-    reader, writer = await send(entry, data)
+    reader, writer = await send(ingress, data)
     answered = await read_until_closed(reader)
     writer.close()
     assert answered.count(b"HTTP/1.1 200") == 1
@@ -71,11 +71,11 @@
 async def test_what_stands_behind_the_last_answer_of_a_node_that_stops_is_not_passed_on(
     system: MeshSystem,
 ) -> None:
-    entry, server = await entry_and_server(system)
+    ingress, server = await ingress_and_server(system)
     server.backend.work_seconds = 0.4
-    reader, writer = await send(entry, request("first") + request("second"))
+    reader, writer = await send(ingress, request("first") + request("second"))
     await until(lambda: server.backend.running == 1)
-    entry.node._callers.stopping = True
+    ingress.node._callers.stopping = True
     answered = await read_until_closed(reader)
     writer.close()
     assert b"connection: close" in answered
@@ -83,10 +83,10 @@
 
 
 async def test_a_slow_first_one_uses_up_the_time_of_those_behind_it(system: MeshSystem) -> None:
-    entry, server = await entry_and_server(system)
+    ingress, server = await ingress_and_server(system)
     server.backend.work_seconds = 0.4
     data = request("first") + request("second", deadline_ms=200) + request("third")
-    reader, writer = await send(entry, data)
+    reader, writer = await send(ingress, data)
     async with asyncio.timeout(5.0):
         answered = await reader.readuntil(b"body of third")
     writer.close()
@@ -98,9 +98,9 @@
 
 
 async def test_a_reset_ends_all_that_only_this_caller_waits_for(system: MeshSystem) -> None:
-    entry, server = await entry_and_server(system)
+    ingress, server = await ingress_and_server(system)
     server.backend.work_seconds = 5.0
-    _, writer = await send(entry, request("first") + request("second"))
+    _, writer = await send(ingress, request("first") + request("second"))
     await until(lambda: server.backend.running == 1)
     writer.transport.abort()
     await until(lambda: server.backend.cancelled == ["first"])
@@ -108,12 +108,12 @@
 
 
 async def test_no_more_is_read_ahead_than_is_bounded(system: MeshSystem) -> None:
-    entry, server = await entry_and_server(system)
+    ingress, server = await ingress_and_server(system)
     server.backend.work_seconds = 5.0
-    _, writer = await send(entry, b"".join(request(f"p{n}") for n in range(20_000)))
+    _, writer = await send(ingress, b"".join(request(f"p{n}") for n in range(20_000)))
     await until(lambda: server.backend.running == 1)
     await asyncio.sleep(0.3)
-    connection = next(iter(entry.node._callers._connections))
+    connection = next(iter(ingress.node._callers._connections))
     # What one read of the socket brings is parsed whole; then nothing more is read.
     waiting = len(connection._queue)
     await asyncio.sleep(0.3)
--- a/tests/mesh/test_quota_messages.py
+++ b/tests/mesh/test_quota_messages.py
@@ -8,8 +8,8 @@
 import pytest
 
 from hoisthook.adapter.http.client_pool import ClientPool
+from hoisthook.mesh.buffered_exchange import exchange_buffered
 from hoisthook.mesh.team_quotas import QUOTA_PATH
-from hoisthook.mesh.whole_exchange import exchange_whole
 from standin.published_configuration import RouteOptions
 
 if TYPE_CHECKING:
@@ -39,7 +39,7 @@
     await system.until_configured(1)
     pool = ClientPool()
     connection = await pool.acquire(node.peers_address, 1.0)
-    answered = await exchange_whole(
+    answered = await exchange_buffered(
         connection, b"POST", QUOTA_PATH, [(b"host", b"n")], data, timeout=1.0
     )
     assert isinstance(answered, tuple)
--- a/tests/mesh/test_routed_dispatcher.py
+++ b/tests/mesh/test_routed_dispatcher.py
@@ -11,7 +11,7 @@
 from hoisthook.identity import NodeId
 from hoisthook.identity import ServiceName
 from hoisthook.mesh.outcome import Outcome
-from hoisthook.mesh.outcome import Unheard
+from hoisthook.mesh.outcome import PendingOutcome
 from hoisthook.mesh.peer import Peer
 from hoisthook.mesh.peer import PeerView
 from hoisthook.mesh.routed_dispatcher import RoutedDispatcher
@@ -43,7 +43,7 @@
             )
             for port, name in enumerate(("first", "second"), start=1)
         ]
-        self.unheard: list[asyncio.Task[Outcome]] = []
+        self.pending_outcomes: list[asyncio.Task[Outcome]] = []
         self.second_asked = asyncio.Event()
         self.second_goes_on = asyncio.Event()
 
@@ -61,13 +61,13 @@
 
     async def run(
         self, view: PeerView, call: RoutedCall, admission: Admission
-    ) -> Outcome | Unheard:
+    ) -> Outcome | PendingOutcome:
         if view is self.views[1]:
             self.second_asked.set()
             await self.second_goes_on.wait()
         task = asyncio.ensure_future(self._silence())
-        self.unheard.append(task)
-        return Unheard(task)
+        self.pending_outcomes.append(task)
+        return PendingOutcome(task)
 
     async def _silence(self) -> Outcome:
         await asyncio.Event().wait()
@@ -89,7 +89,7 @@
 
     async def run(
         self, view: PeerView, call: RoutedCall, admission: Admission
-    ) -> Outcome | Unheard:
+    ) -> Outcome | PendingOutcome:
         return Refused(ResultCode.RETRY_BUDGET_SPENT, 0.1)
 
 
@@ -128,9 +128,9 @@
     if is_silent_too:
         nodes.second_goes_on.set()
         # The second try is over, and its outcome is not taken in yet.
-        while len(nodes.unheard) < 2:
+        while len(nodes.pending_outcomes) < 2:
             await asyncio.sleep(0)
     running.cancel()
     await asyncio.wait([running])
-    await asyncio.wait(nodes.unheard, timeout=5.0)
-    assert [task.cancelled() for task in nodes.unheard] == [True] * (1 + is_silent_too)
+    await asyncio.wait(nodes.pending_outcomes, timeout=5.0)
+    assert [task.cancelled() for task in nodes.pending_outcomes] == [True] * (1 + is_silent_too)
--- a/tests/mesh/test_routed_progress.py
+++ b/tests/mesh/test_routed_progress.py
@@ -8,9 +8,9 @@
 from hoisthook.identity import RequestId
 from hoisthook.identity import RouteName
 from hoisthook.identity import ServiceName
+from hoisthook.mesh.outcome import CompleteAnswer
 from hoisthook.mesh.outcome import Outcome
-from hoisthook.mesh.outcome import Unheard
-from hoisthook.mesh.outcome import WholeAnswer
+from hoisthook.mesh.outcome import PendingOutcome
 from hoisthook.mesh.routed_call import RoutedCall
 from hoisthook.mesh.routed_progress import RoutedProgress
 from hoisthook.node.call import Lost
@@ -21,8 +21,8 @@
 NOW = 0.1
 FIRST = NodeId("first")
 SECOND = NodeId("second")
-ANSWER = WholeAnswer(200, [], b"")
-FAILURE = WholeAnswer(500, [], b"")
+ANSWER = CompleteAnswer(200, [], b"")
+FAILURE = CompleteAnswer(500, [], b"")
 
 
 def progress(*, max_attempts: int = 2, target: float = 1.0) -> RoutedProgress:
@@ -53,7 +53,7 @@
 async def silent(of: RoutedProgress, node: NodeId, outcome: Outcome) -> None:
     """Take in that a node is silent; ``outcome`` is what it says at last."""
     task = asyncio.ensure_future(heard(outcome))
-    of.take(node, Unheard(task), NOW)
+    of.take(node, PendingOutcome(task), NOW)
     await asyncio.wait([task])
 
 
--- a/tests/mesh/test_silent_node.py
+++ b/tests/mesh/test_silent_node.py
@@ -52,21 +52,21 @@
         self.handled += 1
 
 
-async def entry_and_server(system: MeshSystem) -> tuple[Machine, Machine]:
-    entry = await system.add("front")
+async def ingress_and_server(system: MeshSystem) -> tuple[Machine, Machine]:
+    ingress = await system.add("front")
     server = await system.add("shop", data_centre="two")
     system.introduce_all()
     system.publish(1, ROUTE)
     await system.until_configured(1)
-    return entry, server
+    return ingress, server
 
 
 def ask(
-    system: MeshSystem, entry: Machine, method: bytes = b"GET"
+    system: MeshSystem, ingress: Machine, method: bytes = b"GET"
 ) -> asyncio.Task[tuple[int, dict[bytes, bytes], bytes]]:
     return asyncio.create_task(
         system.call(
-            entry,
+            ingress,
             method=method,
             body=b"5" if method == b"POST" else b"",
             deadline_ms=DEADLINE_MS,
@@ -79,9 +79,9 @@
     system: MeshSystem,
 ) -> tuple[Machine, Stall, asyncio.Task[tuple[int, dict[bytes, bytes], bytes]]]:
     """Return the node, its stall, and a request that is held there."""
-    entry, server = await entry_and_server(system)
+    ingress, server = await ingress_and_server(system)
     stall = Stall(server)
-    asked = ask(system, entry)
+    asked = ask(system, ingress)
     await stall.reached.wait()
     return server, stall, asked
 
@@ -97,16 +97,16 @@
     system: MeshSystem, method: bytes, is_under_way: bool
 ) -> None:
     """Guards against 502 in place of an answer at which a backend server is at work."""
-    entry, server = await entry_and_server(system)
+    ingress, server = await ingress_and_server(system)
     stall = Stall(server)
     if is_under_way:
-        asked = ask(system, entry, method)
+        asked = ask(system, ingress, method)
         await stall.reached.wait()
-        closing = asyncio.create_task(entry.node.close())
+        closing = asyncio.create_task(ingress.node.close())
     else:
-        closing = asyncio.create_task(entry.node.close())
-        await until(lambda: entry.node.stopping)
-        asked = ask(system, entry, method)
+        closing = asyncio.create_task(ingress.node.close())
+        await until(lambda: ingress.node.stopping)
+        asked = ask(system, ingress, method)
     await until(lambda: is_silent(system))
     stall.over.set()
     status, _, _ = await asked
@@ -117,9 +117,9 @@
 
 async def test_late_answer_of_a_silent_node_is_delivered(system: MeshSystem) -> None:
     """Guards against 502 to a request that nobody else can run and that runs all the same."""
-    entry, server = await entry_and_server(system)
+    ingress, server = await ingress_and_server(system)
     stall = Stall(server)
-    asked = ask(system, entry)
+    asked = ask(system, ingress)
     await until(lambda: is_silent(system))
     stall.over.set()
     assert (await asked)[0] == 200
--- a/tests/mesh/test_store_era.py
+++ b/tests/mesh/test_store_era.py
@@ -66,7 +66,7 @@
     system.evacuate("two")
     await until_evacuated(system, TWO)
     changes = len(evacuated_ever(system))
-    system.store.come_back_older()
+    system.store.regress()
     await until_era(system, 2)
     system.evacuate("two")
     await asyncio.sleep(2 * REWRITTEN_SECONDS)
@@ -82,7 +82,7 @@
     system.restore("two")
     await until_evacuated(system)
     changes = len(evacuated_ever(system))
-    system.store.come_back_older()
+    system.store.regress()
     await until_era(system, 2)
     system.restore("two")
     await asyncio.sleep(2 * REWRITTEN_SECONDS)
@@ -98,8 +98,8 @@
     for version in range(2, 9):
         system.publish(version, RouteOptions("shop"))
     await system.until_configured(8)
-    system.store.come_back_older()
-    system.store.come_back_older()
+    system.store.regress()
+    system.store.regress()
     await until_era(system, 3)
     assert all(m.node.configuration.version == 8 for m in system.machines)
     system.publish(9, RouteOptions("shop"))
@@ -116,7 +116,7 @@
     system.store.copy()
     system.publish(3, RouteOptions("shop"), teams=[TeamOptions("port", ("new",))])
     await system.until_configured(3)
-    system.store.come_back_older()
+    system.store.regress()
     await until_era(system, 2)
     for machine in system.machines:
         assert (await system.call(machine, key="old"))[0] == 401
@@ -127,7 +127,7 @@
     system.store.copy()
     await running(system)
     assert len(system.store.topic(NODES_TOPIC).newest()) == 4
-    system.store.come_back_older()
+    system.store.regress()
     await until_era(system, 2)
     await until(lambda: len(system.store.topic(NODES_TOPIC).newest()) == 4)
 
@@ -139,7 +139,7 @@
     monkeypatch.setattr(registration, "COPY_AGE_SECONDS", 0.0)
     await running(system)
     system.store.copy()
-    system.store.come_back_older()
+    system.store.regress()
     await until_era(system, 2)
     before = system.store.calls.count("log-append")
     await asyncio.sleep(3 * registration.AGAIN_SECONDS)
@@ -164,7 +164,7 @@
     def page(self: StoreStandin, exchange: ServerExchange, fields: dict[str, list[str]]) -> None:
         answer(self, exchange, fields)
         if self.era == 1:
-            self.come_back_older()
+            self.regress()
 
     monkeypatch.setattr(StoreStandin, "_newest", page)
     found = await store.newest("keyed.t")
--- a/tests/mesh/test_suspension.py
+++ b/tests/mesh/test_suspension.py
@@ -36,14 +36,14 @@
     system: MeshSystem, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     suspend = suspender(monkeypatch)
-    entry = await system.add("front")
+    ingress = await system.add("front")
     shop = await system.add("shop", slots=1)
     system.introduce_all()
     system.publish(1, RouteOptions("shop", timeout=30.0, target=20.0))
     await system.until_configured(1)
     shop.backend.fault = Fault.HANG
     sent = [
-        asyncio.create_task(system.call(entry, "/x", deadline_ms=20_000, timeout=300.0))
+        asyncio.create_task(system.call(ingress, "/x", deadline_ms=20_000, timeout=300.0))
         for _ in range(2)
     ]
     await until(lambda: shop.backend.running == 1 and shop.node.link.gate.waiting == 1)
@@ -54,5 +54,5 @@
     shop.backend.fault = Fault.NONE
     assert await shop.beat() == 200
     await until(lambda: shop.node.link.gate.running == 0)
-    status, _, _ = await system.call(entry, "/x", deadline_ms=20_000, timeout=300.0)
+    status, _, _ = await system.call(ingress, "/x", deadline_ms=20_000, timeout=300.0)
     assert status == 200
--- a/tests/mesh/test_suspicion.py
+++ b/tests/mesh/test_suspicion.py
@@ -26,12 +26,12 @@
     return next(v for v in machine.node.directory.serving(SHOP) if v.peer.node == wanted)
 
 
-async def entries_and_two_servers(
+async def ingresses_and_two_servers(
     system: MeshSystem, data_centre: str = "two"
 ) -> tuple[list[Machine], Machine, Machine]:
     """Return five entries, a backend server's node that stays and one that is gone."""
     system.readers_per_data_centre = 2
-    entries = [await system.add("front") for _ in range(5)]
+    ingresses = [await system.add("front") for _ in range(5)]
     staying = await system.add("shop")
     leaving = await system.add("shop", data_centre=data_centre)
     system.introduce_all()
@@ -39,54 +39,54 @@
     await system.until_configured(1)
     leaving.crash()
     system.machines.remove(leaving)
-    return entries, staying, leaving
+    return ingresses, staying, leaving
 
 
 async def test_what_two_nodes_found_out_the_others_need_not(system: MeshSystem) -> None:
-    entries, staying, leaving = await entries_and_two_servers(system)
-    for entry in entries[:2]:
+    ingresses, staying, leaving = await ingresses_and_two_servers(system)
+    for ingress in ingresses[:2]:
         # Only the node that is gone is left to be asked.
-        view_of(entry, staying).close_until(asyncio.get_running_loop().time() + 0.2)
-        await system.call(entry)
-    await until(lambda: all(view_of(e, leaving).suspected for e in entries))
+        view_of(ingress, staying).close_until(asyncio.get_running_loop().time() + 0.2)
+        await system.call(ingress)
+    await until(lambda: all(view_of(e, leaving).suspected for e in ingresses))
     found = system.log.named("peer_unreachable")
     assert len([line for line in found if line["peer"] == "node-7"]) <= 3
     leaving.backend.close()
 
 
 async def test_one_that_reaches_it_again_clears_it_for_all(system: MeshSystem) -> None:
-    entries, _, leaving = await entries_and_two_servers(system)
-    for entry in entries:
-        found = entry.node.directory.findings
+    ingresses, _, leaving = await ingresses_and_two_servers(system)
+    for ingress in ingresses:
+        found = ingress.node.directory.findings
         now = asyncio.get_running_loop().time()
         found.note(leaving.node.directory.me.node, now, reached=False)
-    await until(lambda: all(view_of(e, leaving).suspected for e in entries))
+    await until(lambda: all(view_of(e, leaving).suspected for e in ingresses))
     await system.start_again(leaving)
-    entries[0].node._hop.probe(view_of(entries[0], leaving))
-    await until(lambda: not any(view_of(e, leaving).suspected for e in entries))
-    assert view_of(entries[1], leaving).closed_until <= asyncio.get_running_loop().time()
+    ingresses[0].node._hop.probe(view_of(ingresses[0], leaving))
+    await until(lambda: not any(view_of(e, leaving).suspected for e in ingresses))
+    assert view_of(ingresses[1], leaving).closed_until <= asyncio.get_running_loop().time()
 
 
 async def test_node_that_was_just_heard_from_is_not_suspected_on_hearsay(
     system: MeshSystem,
 ) -> None:
-    entries, staying, _ = await entries_and_two_servers(system)
-    status, _, _ = await system.call(entries[0])
+    ingresses, staying, _ = await ingresses_and_two_servers(system)
+    status, _, _ = await system.call(ingresses[0])
     assert status == 200
     name = staying.node.directory.me.node
-    entries[0].node.directory.others_suspect([name], asyncio.get_running_loop().time())
-    assert not view_of(entries[0], staying).suspected
+    ingresses[0].node.directory.others_suspect([name], asyncio.get_running_loop().time())
+    assert not view_of(ingresses[0], staying).suspected
 
 
 async def test_start_of_its_own_clears_it_without_a_probe(system: MeshSystem) -> None:
-    entries, _, leaving = await entries_and_two_servers(system, "one")
-    for entry in entries:
-        found = entry.node.directory.findings
+    ingresses, _, leaving = await ingresses_and_two_servers(system, "one")
+    for ingress in ingresses:
+        found = ingress.node.directory.findings
         now = asyncio.get_running_loop().time()
         found.note(leaving.node.directory.me.node, now, reached=False)
-    await until(lambda: all(view_of(e, leaving).suspected for e in entries))
+    await until(lambda: all(view_of(e, leaving).suspected for e in ingresses))
     await system.start_again(leaving)
-    await until(lambda: not any(view_of(e, leaving).suspected for e in entries))
+    await until(lambda: not any(view_of(e, leaving).suspected for e in ingresses))
 
 
 async def test_findings_of_nodes_that_ask_different_ones_add_up(system: MeshSystem) -> None:
--- a/tests/mesh/test_team_keys.py
+++ b/tests/mesh/test_team_keys.py
@@ -24,21 +24,21 @@
 )
 
 
-async def entry_and_server(system: MeshSystem) -> tuple[Machine, Machine]:
-    entry = await system.add("front")
+async def ingress_and_server(system: MeshSystem) -> tuple[Machine, Machine]:
+    ingress = await system.add("front")
     server = await system.add("shop")
     system.introduce_all()
     system.publish(1, *ROUTES, teams=[PORT, FERRY])
     await system.until_configured(1)
-    return entry, server
+    return ingress, server
 
 
 @pytest.mark.parametrize("key", ["port-old", "port-new"])
 async def test_backend_server_gets_the_teams_name_and_never_its_key(
     system: MeshSystem, key: str
 ) -> None:
-    entry, server = await entry_and_server(system)
-    status, _, _ = await system.call(entry, key=key, more=[(b"x-tenant-name", b"ferry")])
+    ingress, server = await ingress_and_server(system)
+    status, _, _ = await system.call(ingress, key=key, more=[(b"x-tenant-name", b"ferry")])
     assert status == 200
     arrival = server.backend.arrivals[-1]
     assert arrival.headers[b"x-tenant-name"] == b"port"
@@ -46,8 +46,8 @@
 
 
 async def test_a_name_with_spaces_and_letters_beyond_ascii_arrives(system: MeshSystem) -> None:
-    entry, server = await entry_and_server(system)
-    assert (await system.call(entry, key="ferry-key"))[0] == 200
+    ingress, server = await ingress_and_server(system)
+    assert (await system.call(ingress, key="ferry-key"))[0] == 200
     assert server.backend.arrivals[-1].headers[b"x-tenant-name"].decode() == FERRY.name
 
 
@@ -71,25 +71,25 @@
 async def test_without_one_usable_key_nothing_runs(
     system: MeshSystem, headers: list[Header]
 ) -> None:
-    entry, server = await entry_and_server(system)
-    status, answered, _ = await system.call(entry, more=headers)
+    ingress, server = await ingress_and_server(system)
+    status, answered, _ = await system.call(ingress, more=headers)
     assert status == 401
     assert answered[b"www-authenticate"] == b"Bearer"
     assert server.backend.arrivals == []
 
 
 async def test_scheme_may_be_written_in_any_case(system: MeshSystem) -> None:
-    entry, _ = await entry_and_server(system)
+    ingress, _ = await ingress_and_server(system)
     more = [(b"AUTHORIZATION", b"bEARER  port-old")]
-    assert (await system.call(entry, more=more))[0] == 200
+    assert (await system.call(ingress, more=more))[0] == 200
 
 
 async def test_public_route_needs_no_key_and_hands_none_on(system: MeshSystem) -> None:
-    entry, server = await entry_and_server(system)
+    ingress, server = await ingress_and_server(system)
     forged = [(b"x-tenant-name", b"ferry")]
-    assert (await system.call(entry, "/open/x", more=forged))[0] == 200
-    assert (await system.call(entry, "/open/x", key="nobody's", more=forged))[0] == 200
-    assert (await system.call(entry, "/open/x", key="port-old"))[0] == 200
+    assert (await system.call(ingress, "/open/x", more=forged))[0] == 200
+    assert (await system.call(ingress, "/open/x", key="nobody's", more=forged))[0] == 200
+    assert (await system.call(ingress, "/open/x", key="port-old"))[0] == 200
     seen = [arrival.headers for arrival in server.backend.arrivals]
     assert [headers.get(b"x-tenant-name") for headers in seen] == [None, None, b"port"]
     assert not any(b"authorization" in headers for headers in seen)
@@ -98,31 +98,31 @@
 async def test_key_that_is_taken_away_is_refused_and_the_new_one_serves(
     system: MeshSystem,
 ) -> None:
-    entry, _ = await entry_and_server(system)
+    ingress, _ = await ingress_and_server(system)
     system.publish(2, *ROUTES, teams=[TeamOptions("port", ("port-new",)), FERRY])
     await system.until_configured(2)
-    assert (await system.call(entry, key="port-old"))[0] == 401
-    assert (await system.call(entry, key="port-new"))[0] == 200
+    assert (await system.call(ingress, key="port-old"))[0] == 401
+    assert (await system.call(ingress, key="port-new"))[0] == 200
     system.publish(3, *ROUTES, teams=[TeamOptions("port", ()), FERRY])
     await system.until_configured(3)
-    assert (await system.call(entry, key="port-new"))[0] == 401
-    assert (await system.call(entry, key="ferry-key"))[0] == 200
+    assert (await system.call(ingress, key="port-new"))[0] == 401
+    assert (await system.call(ingress, key="ferry-key"))[0] == 200
 
 
 async def test_a_node_without_a_configuration_does_not_judge_keys(system: MeshSystem) -> None:
-    entry = await system.add("front")
-    assert (await system.call(entry, key="port-old"))[0] == 503
+    ingress = await system.add("front")
+    assert (await system.call(ingress, key="port-old"))[0] == 503
 
 
 async def test_a_faulty_team_is_told_of_and_the_rest_holds(system: MeshSystem) -> None:
-    entry = await system.add("front")
+    ingress = await system.add("front")
     await system.add("shop")
     system.introduce_all()
     thief = TeamOptions("thief", ("port-new", ""))
     system.publish(1, *ROUTES, teams=[PORT, FERRY, thief])
     await system.until_configured(1)
-    assert (await system.call(entry, key="port-new"))[0] == 401
-    assert (await system.call(entry, key="port-old"))[0] == 200
+    assert (await system.call(ingress, key="port-new"))[0] == 401
+    assert (await system.call(ingress, key="port-old"))[0] == 200
     told = system.log.named("team_key_unusable")
     assert {fields["code"] for fields in told} == {4011}
     assert {fields["team"] for fields in told} == {"port", "thief"}
@@ -131,19 +131,19 @@
 async def test_where_teams_are_not_told_apart_credentials_are_handed_on(
     system: MeshSystem,
 ) -> None:
-    entry = await system.add("front")
+    ingress = await system.add("front")
     server = await system.add("shop")
     system.introduce_all()
     system.publish(1, *ROUTES)
     await system.until_configured(1)
-    assert (await system.call(entry, key="the application's own"))[0] == 200
+    assert (await system.call(ingress, key="the application's own"))[0] == 200
     assert b"authorization" in server.backend.arrivals[-1].headers
 
 
 async def test_no_line_holds_a_key(system: MeshSystem) -> None:
-    entry, _ = await entry_and_server(system)
-    await system.call(entry, key="port-old")
-    await system.call(entry, key="a-key-of-nobody")
+    ingress, _ = await ingress_and_server(system)
+    await system.call(ingress, key="port-old")
+    await system.call(ingress, key="a-key-of-nobody")
     text = repr(system.log.lines)
     assert "port-old" not in text
     assert "a-key-of-nobody" not in text
@@ -152,7 +152,7 @@
 
 
 async def test_a_trailer_adds_nothing_to_what_was_checked(system: MeshSystem) -> None:
-    entry, server = await entry_and_server(system)
+    ingress, server = await ingress_and_server(system)
     head = (
         "POST /%s HTTP/1.1\r\nhost: a.example\r\nx-request-id: %s\r\nx-deadline-ms: 2000\r\n"
         "transfer-encoding: chunked\r\n%s\r\n1\r\na\r\n0\r\n%s\r\n"
@@ -160,7 +160,7 @@
     # The second waits behind the first, so its trailer is read before its head is looked at.
     data = head % ("x", "t1", "authorization: Bearer port-old\r\n", "x-tenant-name: ferry\r\n")
     data += head % ("x", "t2", "", "authorization: Bearer port-old\r\n")
-    host, port = entry.node.callers_address
+    host, port = ingress.node.callers_address
     reader, writer = await asyncio.open_connection(host, port, family=socket.AF_INET)
     writer.write(data.encode())
     first = await reader.readuntil(b"\r\n")
--- a/tests/mesh/test_team_quota.py
+++ b/tests/mesh/test_team_quota.py
@@ -22,31 +22,31 @@
 BOUND = (10.0 * 5.0 + 10.0) * 1.1 + 10.0
 
 
-async def entries_and_server(
+async def ingresses_and_server(
     system: MeshSystem, port: TeamOptions
 ) -> tuple[list[Machine], Machine]:
     system.teams = TEAMS
-    entries = [await system.add("front") for _ in range(3)]
+    ingresses = [await system.add("front") for _ in range(3)]
     server = await system.add("shop", slots=100)
     system.introduce_all()
     system.publish(1, RouteOptions("shop"), teams=[port, OTHER])
     await system.until_configured(1)
     # Nodes that have just started do not know what was given out before.
     await asyncio.sleep(1.5)
-    return entries, server
+    return ingresses, server
 
 
-async def press(system: MeshSystem, entries: list[Machine], count: int) -> list[int]:
-    calls = [system.call(entries[n % len(entries)], key="key") for n in range(count)]
+async def press(system: MeshSystem, ingresses: list[Machine], count: int) -> list[int]:
+    calls = [system.call(ingresses[n % len(ingresses)], key="key") for n in range(count)]
     return [status for status, _, _ in await asyncio.gather(*calls)]
 
 
 async def test_all_entries_together_admit_a_quota(system: MeshSystem) -> None:
-    entries, server = await entries_and_server(system, PORT)
+    ingresses, server = await ingresses_and_server(system, PORT)
     begun = asyncio.get_running_loop().time()
     statuses: list[int] = []
     for _ in range(5):
-        statuses += await press(system, entries, 30)
+        statuses += await press(system, ingresses, 30)
         await asyncio.sleep(0.2)
     seconds = asyncio.get_running_loop().time() - begun
     assert set(statuses) == {200, 429}
@@ -58,36 +58,36 @@
 async def test_who_is_over_its_quota_is_told_when_to_come_back_and_others_are_served(
     system: MeshSystem,
 ) -> None:
-    entries, server = await entries_and_server(system, PORT)
-    while (answer := await system.call(entries[0], key="key"))[0] == 200:
+    ingresses, server = await ingresses_and_server(system, PORT)
+    while (answer := await system.call(ingresses[0], key="key"))[0] == 200:
         pass
     status, headers, body = answer
     assert status == 429
     assert body.startswith(b"2025 TEAM_OVER_QUOTA")
     assert 0 < float(headers[b"retry-after"]) <= 2.0
     tries = len(server.backend.arrivals)
-    assert (await system.call(entries[0], key="other-key"))[0] == 200
+    assert (await system.call(ingresses[0], key="other-key"))[0] == 200
     assert len(server.backend.arrivals) == tries + 1
 
 
 async def test_request_that_no_backend_server_took_leaves_its_token(system: MeshSystem) -> None:
-    entries, server = await entries_and_server(system, SLOW)
+    ingresses, server = await ingresses_and_server(system, SLOW)
     # Until so many are saved up.
     await asyncio.sleep(6.0)
     server.backend.fault = Fault.SHED
     for _ in range(20):
-        assert await press(system, entries[:1], 1) == [503]
+        assert await press(system, ingresses[:1], 1) == [503]
     server.backend.fault = Fault.NONE
     await asyncio.sleep(0.1)
-    assert await press(system, entries[:1], 6) == [200] * 6
+    assert await press(system, ingresses[:1], 6) == [200] * 6
 
 
 async def test_a_quota_goes_on_where_the_node_that_gives_it_out_has_gone(
     system: MeshSystem,
 ) -> None:
-    entries, _ = await entries_and_server(system, PORT)
+    ingresses, _ = await ingresses_and_server(system, PORT)
     system.machines[1].crash()
-    left = [entries[0], entries[2]]
+    left = [ingresses[0], ingresses[2]]
     served = 0
     for _ in range(10):
         served += (await press(system, left, 2)).count(200)
--- a/tests/node/harness.py
+++ b/tests/node/harness.py
@@ -173,8 +173,8 @@
     def runs(self, name: str) -> int:
         return sum(backend.runs.count(name) for backend in self.backend_by_name.values())
 
-    async def issue_key(self, entry: str = "a") -> str:
-        address = self.node_by_name[entry].callers_address
+    async def issue_key(self, ingress: str = "a") -> str:
+        address = self.node_by_name[ingress].callers_address
         got = await self.call(address, "key", method=b"POST", target=b"/hoisthook/keys")
         return got.body.decode().strip()
 
@@ -258,6 +258,6 @@
             await asyncio.sleep(0.5)
             for name in self.backend_by_name:
                 if name in self.node_by_name:
-                    beside = self.node_by_name[name].beside
-                    if not beside.draining_announced:
+                    local_backend = self.node_by_name[name].local_backend
+                    if not local_backend.draining_announced:
                         self.announce(name, slots)
--- a/tests/node/test_crashing_requests.py
+++ b/tests/node/test_crashing_requests.py
@@ -47,8 +47,8 @@
         backend.ends_under = CRASHING
         system.uptime_ms_by_name[name] = RUNNING_MS
         system.announce(name)
-    entry = system.node_by_name["ac"[number % 2]]
-    got = await system.call(entry.callers_address, CRASHING, target=b"/crashing")
+    ingress = system.node_by_name["ac"[number % 2]]
+    got = await system.call(ingress.callers_address, CRASHING, target=b"/crashing")
     for name, backend in backends(system):
         if backend.runs.count(CRASHING) > before[name]:
             system.uptime_ms_by_name[name] = 0
--- a/tests/node/test_fault_matrix.py
+++ b/tests/node/test_fault_matrix.py
@@ -90,10 +90,10 @@
     judge(system, "once", first, 1)
     clear(system)
     sends.append(first)
-    for entry in ("c", "a", "c"):
-        if entry not in system.node_by_name:
+    for ingress in ("c", "a", "c"):
+        if ingress not in system.node_by_name:
             continue
-        address = system.node_by_name[entry].callers_address
+        address = system.node_by_name[ingress].callers_address
         again = await system.call(address, "once", method=b"POST", key=key, body=b"5")
         await settle(system)
         judge(system, "once", again, 1)
--- a/tests/node/test_leaving.py
+++ b/tests/node/test_leaving.py
@@ -30,7 +30,7 @@
 LOG_STATES = ("log up", "log out")
 
 
-def entry(system: System, name: str = "a") -> tuple[str, int]:
+def ingress(system: System, name: str = "a") -> tuple[str, int]:
     return system.node_by_name[name].callers_address
 
 
@@ -46,13 +46,13 @@
     backend = system.backend_by_name["b1"]
     backend.work = system.backend_by_name["b2"].work = 0.2
     running = [
-        asyncio.ensure_future(system.call(entry(system), f"old{number}")) for number in range(6)
+        asyncio.ensure_future(system.call(ingress(system), f"old{number}")) for number in range(6)
     ]
     await system.until(lambda: backend.active > 0)
     system.announce("b1", draining=True)
     before = list(backend.runs)
     system.backend_by_name["b2"].work = 0.0
-    got = [await system.call(entry(system, "ac"[n % 2]), f"new{n}") for n in range(10)]
+    got = [await system.call(ingress(system, "ac"[n % 2]), f"new{n}") for n in range(10)]
     assert [run for run in backend.runs if run.startswith("new")] == []
     assert all(each.code == 0 for each in got)
     done = await asyncio.gather(*running)
@@ -85,7 +85,7 @@
     if step == "after":
         await strike()
     for number in range(8):
-        got = await system.call(entry(system, "ac"[number % 2]), f"r{number}")
+        got = await system.call(ingress(system, "ac"[number % 2]), f"r{number}")
         assert got.code == 0
         assert got.body.split(b"|")[2] == b"b2"
     assert system.backend_by_name["b1"].runs == []
@@ -95,9 +95,9 @@
     record = ChangeRecord("drain", 0, SetDrain("b1", drained=True))
     await system.log.append(CHANGES_STREAM, msgspec.json.encode(record))
     node = system.node_by_name["b1"]
-    await system.until(lambda: not node.beside.takes_work())
+    await system.until(lambda: not node.local_backend.takes_work())
     for number in range(6):
-        got = await system.call(entry(system), f"r{number}")
+        got = await system.call(ingress(system), f"r{number}")
         assert got.body.split(b"|")[2] == b"b2"
 
 
@@ -108,17 +108,17 @@
     data_centre = nodes["b1"].table.me.data_centre
     record = ChangeRecord("evacuate", 0, SetEvacuation(data_centre, evacuated=True))
     await system.log.append(CHANGES_STREAM, msgspec.json.encode(record))
-    beside = [nodes[name] for name in ("b1", "b2")]
-    inside = [node for node in beside if node.table.me.data_centre == data_centre]
-    outside = [node for node in beside if node not in inside]
-    await system.until(lambda: not any(node.beside.takes_work() for node in inside))
-    assert all(node.beside.takes_work() for node in outside)
-    got = await system.call(entry(system), "r")
+    serving = [nodes[name] for name in ("b1", "b2")]
+    inside = [node for node in serving if node.table.me.data_centre == data_centre]
+    outside = [node for node in serving if node not in inside]
+    await system.until(lambda: not any(node.local_backend.takes_work() for node in inside))
+    assert all(node.local_backend.takes_work() for node in outside)
+    got = await system.call(ingress(system), "r")
     assert (got.code == 0) is bool(outside)
     back = ChangeRecord("restore", 2, SetEvacuation(data_centre, evacuated=False))
     await system.log.append(CHANGES_STREAM, msgspec.json.encode(back))
-    await system.until(lambda: all(node.beside.takes_work() for node in beside))
-    assert (await system.call(entry(system), "again")).code == 0
+    await system.until(lambda: all(node.local_backend.takes_work() for node in serving))
+    assert (await system.call(ingress(system), "again")).code == 0
 
 
 async def test_change_is_in_force_everywhere_though_the_log_fails_after_it(
@@ -160,7 +160,7 @@
     for backend in system.backend_by_name.values():
         backend.work = 0.25
     running = [
-        asyncio.ensure_future(system.call(entry(system), f"r{number}")) for number in range(4)
+        asyncio.ensure_future(system.call(ingress(system), f"r{number}")) for number in range(4)
     ]
     await system.until(lambda: sum(b.active for b in system.backend_by_name.values()) == 4)
     node = system.node_by_name.pop("a")
@@ -176,7 +176,7 @@
     for backend in system.backend_by_name.values():
         backend.work = 0.25
     running = [
-        asyncio.ensure_future(system.call(entry(system), f"r{number}")) for number in range(6)
+        asyncio.ensure_future(system.call(ingress(system), f"r{number}")) for number in range(6)
     ]
     backends = [system.backend_by_name[name] for name in ("b1", "b2")]
     # All of them, so that none arrives only after the close has begun and finds no slot.
@@ -196,7 +196,7 @@
         number = 0
         while not stop.is_set():
             number += 1
-            got = await system.call(entry(system, "c"), f"r{number}")
+            got = await system.call(ingress(system, "c"), f"r{number}")
             if got.code != 0:
                 failures.append(got)
 
@@ -270,14 +270,14 @@
     system.backend_by_name["b2"].work = 0.1
     b1.gossip.announce = b1.gossip.leave
     b1.gossip.table.take_news = tuple
-    b1.beside.draining_announced = True
-    b1.beside._announce()
+    b1.local_backend.draining_announced = True
+    b1.local_backend._announce()
     holding = [
-        asyncio.ensure_future(system.call(entry(system, "c"), f"hold{number}"))
+        asyncio.ensure_future(system.call(ingress(system, "c"), f"hold{number}"))
         for number in range(4)
     ]
     await system.until(lambda: system.backend_by_name["b2"].active == 4)
-    got = await system.call(entry(system), "r")
+    got = await system.call(ingress(system), "r")
     assert got.code == 0
     await asyncio.gather(*holding)
 
--- a/tests/node/test_path.py
+++ b/tests/node/test_path.py
@@ -14,16 +14,18 @@
     from tests.node.harness import Got
 
 
-def entry(system: System, name: str = "a") -> tuple[str, int]:
+def ingress(system: System, name: str = "a") -> tuple[str, int]:
     return system.node_by_name[name].callers_address
 
 
-async def post(system: System, name: str, key: str, entry_name: str = "a") -> Got:
-    return await system.call(entry(system, entry_name), name, method=b"POST", key=key, body=b"5")
+async def post(system: System, name: str, key: str, ingress_name: str = "a") -> Got:
+    return await system.call(
+        ingress(system, ingress_name), name, method=b"POST", key=key, body=b"5"
+    )
 
 
 async def test_answer_says_how_it_came_about(system: System) -> None:
-    got = await system.call(entry(system), "r")
+    got = await system.call(ingress(system), "r")
     assert (got.status, got.code, got.ran) == (200, 0, "ran")
     assert got.headers[b"hoisthook-attempts"] == b"1"
     assert got.headers[b"hoisthook-ran-by"] in (b"b1", b"b2")
@@ -33,7 +35,7 @@
     names = [f"r{number}" for number in range(40)]
     for backend in system.backend_by_name.values():
         backend.work = 0.005
-    got = await asyncio.gather(*(system.call(entry(system), name) for name in names))
+    got = await asyncio.gather(*(system.call(ingress(system), name) for name in names))
     for name, each in zip(names, got, strict=True):
         assert each.code != 0 or each.body.startswith(f"{name}|".encode())
 
@@ -44,7 +46,7 @@
         backend.work = 0.02
     names = [f"r{number}" for number in range(60)]
     got = await asyncio.gather(
-        *(system.call(entry(system, "ac"[n % 2]), name) for n, name in enumerate(names))
+        *(system.call(ingress(system, "ac"[n % 2]), name) for n, name in enumerate(names))
     )
     assert all(b.most_active <= 4 for b in system.backend_by_name.values())
     refused = [each for each in got if each.code != 0]
@@ -65,7 +67,7 @@
     for backend in system.backend_by_name.values():
         backend.held = held
     running = [
-        asyncio.ensure_future(system.call(entry(system), f"r{number}")) for number in range(20)
+        asyncio.ensure_future(system.call(ingress(system), f"r{number}")) for number in range(20)
     ]
     done, pending = await asyncio.wait(running, return_when=asyncio.FIRST_COMPLETED)
     assert [each.result().ran for each in done] == ["not-run"] * len(done)
@@ -86,13 +88,13 @@
 async def test_bad_headers_are_refused(
     system: System, headers: list[tuple[bytes, bytes]], code: int
 ) -> None:
-    got = await system.call(entry(system), "r", headers=headers)
+    got = await system.call(ingress(system), "r", headers=headers)
     assert (got.code, got.ran) == (code, "not-run")
     assert system.runs("r") == 0
 
 
 async def test_non_repeatable_needs_an_issued_key(system: System) -> None:
-    none = await system.call(entry(system), "r", method=b"POST", body=b"5")
+    none = await system.call(ingress(system), "r", method=b"POST", body=b"5")
     plain = await post(system, "r", "4f1c-a-callers-own-key")
     assert (none.code, plain.code) == (1006, 1007)
     assert system.runs("r") == 0
@@ -160,7 +162,7 @@
 async def test_deadline_is_handed_down_and_cancels(system: System) -> None:
     for backend in system.backend_by_name.values():
         backend.work = 5.0
-    got = await system.call(entry(system), "r", headers=[(b"hoisthook-timeout-ms", b"150")])
+    got = await system.call(ingress(system), "r", headers=[(b"hoisthook-timeout-ms", b"150")])
     assert (got.code, got.ran) == (3002, "unknown")
     heads = [head for b in system.backend_by_name.values() for head in b.headers]
     remaining = [int(h.split(b"hoisthook-timeout-ms: ")[1].split(b"\r\n")[0]) for h in heads]
@@ -172,11 +174,11 @@
 async def test_reused_connection_that_drops_is_not_sent_again(system: System) -> None:
     """A hidden second send of a method that HTTP calls idempotent would run it twice."""
     key = await system.issue_key("a")
-    await system.call(entry(system), "warm-1")
-    await system.call(entry(system), "warm-2")
+    await system.call(ingress(system), "warm-1")
+    await system.call(ingress(system), "warm-2")
     for backend in system.backend_by_name.values():
         backend.die_after = b"HTTP"
-    got = await system.call(entry(system), "r", method=b"PUT", key=key, body=b"5")
+    got = await system.call(ingress(system), "r", method=b"PUT", key=key, body=b"5")
     assert got.ran == "unknown"
     assert system.runs("r") == 1
 
@@ -207,7 +209,7 @@
 async def test_answer_without_a_length_is_numbered(system: System) -> None:
     for backend in system.backend_by_name.values():
         backend.raw_answer = lambda _: b"HTTP/1.1 200 OK\r\n\r\nno length"
-    got = await system.call(entry(system), "r")
+    got = await system.call(ingress(system), "r")
     assert (got.code, got.ran) == (3007, "unknown")
 
 
@@ -216,7 +218,7 @@
     for backend in system.backend_by_name.values():
         backend.raw_answer = lambda name: whole.replace(b"ok", name[-2:].encode()) + whole
     for number in range(10, 30):
-        got = await system.call(entry(system), f"r{number}")
+        got = await system.call(ingress(system), f"r{number}")
         assert got.status is None or got.code != 0 or got.body == str(number).encode()
 
 
@@ -224,14 +226,14 @@
     shed = b"HTTP/1.1 503 Busy\r\nhoisthook-shed: 1\r\ncontent-length: 0\r\n\r\n"
     system.backend_by_name["b1"].raw_answer = lambda _: shed
     for number in range(10):
-        got = await system.call(entry(system), f"r{number}")
+        got = await system.call(ingress(system), f"r{number}")
         assert got.body.split(b"|")[2] == b"b2"
 
 
 async def test_long_bodies_stream_both_ways(system: System) -> None:
     body = b"x" * 300_000
     key = await system.issue_key("a")
-    got = await system.call(entry(system), "r", method=b"POST", key=key, body=body)
+    got = await system.call(ingress(system), "r", method=b"POST", key=key, body=body)
     assert got.code == 0
     assert got.body.split(b"|")[1] == body
 
@@ -239,7 +241,7 @@
 async def test_late_repeatable_request_is_hedged(system: System) -> None:
     system.backend_by_name["b1"].work = 0.3
     for number in range(20):
-        got = await system.call(entry(system), f"r{number}")
+        got = await system.call(ingress(system), f"r{number}")
         assert got.code == 0
     assert sum(system.runs(f"r{number}") for number in range(20)) <= 20 + 2
 
@@ -256,11 +258,11 @@
     guard = system.node_by_name["a"].guard
     guard.stale = True
     guard._woke_at = float("inf")
-    got = await system.call(entry(system), "r")
+    got = await system.call(ingress(system), "r")
     assert (got.code, got.ran) == (2010, "not-run")
     guard._woke_at = 0.0
     await system.until(lambda: not guard.stale)
-    assert (await system.call(entry(system), "r")).code == 0
+    assert (await system.call(ingress(system), "r")).code == 0
 
 
 async def test_paused_node_beside_refuses_and_another_runs_it(system: System) -> None:
@@ -268,12 +270,12 @@
     guard.stale = True
     guard._woke_at = float("inf")
     for number in range(6):
-        got = await system.call(entry(system), f"r{number}")
+        got = await system.call(ingress(system), f"r{number}")
         assert got.body.split(b"|")[2] == b"b2"
 
 
 async def test_pipelined_requests_are_answered_in_order(system: System) -> None:
-    reader, writer = await asyncio.open_connection(*entry(system))
+    reader, writer = await asyncio.open_connection(*ingress(system))
     for name in (b"p1", b"p2", b"p3"):
         headers = [(b"host", b"x"), (b"hoisthook-service", SERVICE.encode()), (b"x-run", name)]
         writer.write(encode_request_head(b"GET", b"/x", headers))
@@ -303,9 +305,9 @@
     system = unhedged_system
     monkeypatch.setattr(hop_client, "LOST_SECONDS", 60.0)
     system.backend_by_name["b2"].work = 0.02
-    await asyncio.gather(*(system.call(entry(system), f"warm{number}") for number in range(8)))
+    await asyncio.gather(*(system.call(ingress(system), f"warm{number}") for number in range(8)))
     await system.until(lambda: all(b.active == 0 for b in system.backend_by_name.values()))
     wire = system.wire_by_name["b1-hop"]
     await wire.restart(upstream=("127.0.0.1", 1))
     for number in range(10):
-        assert (await system.call(entry(system), f"r{number}")).code == 0
+        assert (await system.call(ingress(system), f"r{number}")).code == 0
--- a/tests/platform/test_foreign_records.py
+++ b/tests/platform/test_foreign_records.py
@@ -18,7 +18,7 @@
 from hoisthook.adapter.http.call_server import CallServer
 from hoisthook.adapter.http.client_pool import ClientPool
 from hoisthook.adapter.logged_store import LoggedStore
-from hoisthook.mesh.whole_exchange import exchange_whole
+from hoisthook.mesh.buffered_exchange import exchange_buffered
 from hoisthook.node.loop_clock import LoopClock
 from hoisthook.result_code import ResultCode
 from standin.mesh_store import join_record
@@ -79,7 +79,7 @@
     machine = system.machines[0]
     pool = ClientPool()
     connection = await pool.acquire(machine.endpoints.announcements_address, 1.0)
-    answered = await exchange_whole(
+    answered = await exchange_buffered(
         connection, b"POST", b"/-/Instances." + path, [(b"host", b"n")], body, timeout=2.0
     )
     assert isinstance(answered, tuple)
@@ -93,8 +93,8 @@
 ) -> None:
     machine = await system.add("shop")
     assert await announce(system, body) == 400
-    assert machine.node.link.belief.instance == "i-1"
-    assert machine.node.link.belief.takes_work
+    assert machine.node.link.observed_backend.instance == "i-1"
+    assert machine.node.link.observed_backend.takes_work
     (line,) = system.log.named("announcement_unreadable")
     assert line["code"] == ResultCode.ANNOUNCEMENT_UNREADABLE.number
     assert len(str(line["reason"])) <= 200
@@ -103,7 +103,7 @@
 async def test_farewell_of_another_writer_is_passed_over(system: MeshSystem) -> None:
     machine = await system.add("shop")
     assert await announce(system, b'{"born": "now"}', b"Deregister/i-1") == 400
-    assert machine.node.link.belief.takes_work
+    assert machine.node.link.observed_backend.takes_work
 
 
 @settings(suppress_health_check=[HealthCheck.function_scoped_fixture], max_examples=40)
--- a/tests/platform/test_wires.py
+++ b/tests/platform/test_wires.py
@@ -13,9 +13,9 @@
 from hoisthook.identity import InstanceId
 from hoisthook.identity import RequestId
 from hoisthook.identity import ServiceName
-from hoisthook.mesh.beside_load import BesideLoad
 from hoisthook.mesh.hop_header import Admission
 from hoisthook.mesh.hop_header import HopHeader
+from hoisthook.mesh.node_load import NodeLoad
 from hoisthook.port.backend_wire import AnswerKind
 from hoisthook.port.backend_wire import BackendRequestHead
 from hoisthook.port.caller_wire import CallerRequest
@@ -143,7 +143,7 @@
 @given(st.binary(max_size=80))
 def test_any_bytes_as_hop_or_load_header_are_read_or_refused(value: bytes) -> None:
     HopHeader.decode(value)
-    BesideLoad.decode(value)
+    NodeLoad.decode(value)
 
 
 @given(st.floats(0, 100), st.floats(-100, 100), st.integers(0, 9), st.integers(-1, 10**9))
--- a/tests/process/test_processes.py
+++ b/tests/process/test_processes.py
@@ -24,8 +24,8 @@
     from collections.abc import AsyncIterator
 
 SERVICE = "airtime-top-up"
-ENTRY_SERVICE = "subscriber-accounts"
-SMALL = Deployment("small", ("kaolack", "fatick"), {ENTRY_SERVICE: 2, SERVICE: 2}, slots=4)
+INGRESS_SERVICE = "subscriber-accounts"
+SMALL = Deployment("small", ("kaolack", "fatick"), {INGRESS_SERVICE: 2, SERVICE: 2}, slots=4)
 
 
 class Caller:
@@ -103,46 +103,46 @@
 async def test_node_killed_beside_a_running_request_leaves_it_unknown_and_run_once(
     caller: Caller,
 ) -> None:
-    entry, other = caller.cluster.of(ENTRY_SERVICE)
-    key = await caller.key(entry)
-    sending = asyncio.ensure_future(caller.send(entry, "once", key=key, work_ms=800))
+    ingress, other = caller.cluster.of(INGRESS_SERVICE)
+    key = await caller.key(ingress)
+    sending = asyncio.ensure_future(caller.send(ingress, "once", key=key, work_ms=800))
     kill(await running_place(caller, "once"), signal.SIGKILL)
     assert await sending == ("3001", "unknown")
-    for place in (other, entry, other):
+    for place in (other, ingress, other):
         assert (await caller.send(place, "once", key=key))[1] == "unknown"
     assert await caller.runs("once") == 1
 
 
 async def test_killed_holder_leaves_its_keys_unknown_and_run_once(caller: Caller) -> None:
-    entry, other = caller.cluster.of(ENTRY_SERVICE)
-    key = await caller.key(entry)
-    sending = asyncio.ensure_future(caller.send(entry, "once", key=key, work_ms=300))
+    ingress, other = caller.cluster.of(INGRESS_SERVICE)
+    key = await caller.key(ingress)
+    sending = asyncio.ensure_future(caller.send(ingress, "once", key=key, work_ms=300))
     await running_place(caller, "once")
-    kill(entry, signal.SIGKILL)
+    kill(ingress, signal.SIGKILL)
     assert (await sending)[0] == "broken"
-    await entry.node_process.wait()
-    await caller.cluster.start_node(entry)
+    await ingress.node_process.wait()
+    await caller.cluster.start_node(ingress)
 
     async def is_back() -> bool:
-        return (await caller.send(entry, "ping"))[0] == "0"
+        return (await caller.send(ingress, "ping"))[0] == "0"
 
     await wait_until(is_back)
-    for place in (other, entry, other):
+    for place in (other, ingress, other):
         assert (await caller.send(place, "once", key=key))[1] == "unknown"
     assert await caller.runs("once") == 1
 
 
 async def test_frozen_holder_that_wakes_runs_nothing_twice(caller: Caller) -> None:
-    entry, other = caller.cluster.of(ENTRY_SERVICE)
-    key = await caller.key(entry)
-    sending = asyncio.ensure_future(caller.send(entry, "once", key=key, work_ms=200))
+    ingress, other = caller.cluster.of(INGRESS_SERVICE)
+    key = await caller.key(ingress)
+    sending = asyncio.ensure_future(caller.send(ingress, "once", key=key, work_ms=200))
     await running_place(caller, "once")
-    kill(entry, signal.SIGSTOP)
+    kill(ingress, signal.SIGSTOP)
     frozen = await caller.send(other, "once", key=key)
     assert frozen[1] == "unknown"
-    kill(entry, signal.SIGCONT)
+    kill(ingress, signal.SIGCONT)
     await sending
-    for place in (other, entry):
+    for place in (other, ingress):
         assert (await caller.send(place, "once", key=key))[1] in ("ran", "unknown")
     assert await caller.runs("once") == 1
 
@@ -150,11 +150,11 @@
 async def test_frozen_node_beside_is_passed_by_and_its_late_work_is_refused(
     caller: Caller,
 ) -> None:
-    entry = caller.cluster.of(ENTRY_SERVICE)[0]
+    ingress = caller.cluster.of(INGRESS_SERVICE)[0]
     frozen = caller.cluster.of(SERVICE)[0]
     kill(frozen, signal.SIGSTOP)
     names = [f"r{number}" for number in range(12)]
-    sending = [asyncio.ensure_future(caller.send(entry, name)) for name in names]
+    sending = [asyncio.ensure_future(caller.send(ingress, name)) for name in names]
     done, _ = await asyncio.wait(sending, timeout=2.0)
     kill(frozen, signal.SIGCONT)
     got = await asyncio.gather(*sending)
@@ -177,18 +177,18 @@
     busy = asyncio.Event()
     bad: list[tuple[str, str]] = []
 
-    async def keep_calling(entry: Place) -> None:
+    async def keep_calling(ingress: Place) -> None:
         number = 0
         while not busy.is_set():
             number += 1
             # A stall is 2.5 times the work: with 5 ms a machine that lets the only other backend
             # server stand for 15 ms got refusals of a stall, which are no cut.
-            got = await caller.send(entry, f"{entry.name}-{number}", work_ms=60)
+            got = await caller.send(ingress, f"{ingress.name}-{number}", work_ms=60)
             if got[0] != "0":
                 bad.append(got)
 
-    entry = caller.cluster.of(ENTRY_SERVICE)[0]
-    calling = [asyncio.ensure_future(keep_calling(entry)) for _ in range(3)]
+    ingress = caller.cluster.of(INGRESS_SERVICE)[0]
+    calling = [asyncio.ensure_future(keep_calling(ingress)) for _ in range(3)]
     for place in places[1:]:
         assert place.node_process is not None
         assert await stop(place.node_process) == 0
@@ -201,19 +201,19 @@
 
 async def test_drain_with_the_log_out_sends_no_new_work(caller: Caller) -> None:
     await caller.cluster.log_faults(outage=True)
-    entry = caller.cluster.of(ENTRY_SERVICE)[0]
+    ingress = caller.cluster.of(INGRESS_SERVICE)[0]
     leaving, staying = caller.cluster.of(SERVICE)
     await post_json(f"{leaving.backend_url}/_behave", {"draining": True})
 
     async def is_known() -> bool:
         reply = await operator_call(
-            entry.operators, lambda stub: stub.ListBackendServers(pb.ListBackendServersRequest())
+            ingress.operators, lambda stub: stub.ListBackendServers(pb.ListBackendServersRequest())
         )
         return any(b.id == leaving.name and not b.takes_work for b in reply.backend_servers)
 
     await wait_until(is_known)
     for number in range(20):
-        assert (await caller.send(entry, f"new{number}"))[0] == "0"
+        assert (await caller.send(ingress, f"new{number}"))[0] == "0"
     async with caller.session.get(f"{staying.backend_url}/_runs") as answer:
         runs = (await answer.json())["runs"]
     assert sum(run.startswith("new") for run in runs) == 20
@@ -222,7 +222,7 @@
 async def test_drain_of_an_id_that_no_node_knows_is_refused_unless_it_is_expected(
     caller: Caller,
 ) -> None:
-    entry = caller.cluster.of(ENTRY_SERVICE)[0]
+    ingress = caller.cluster.of(INGRESS_SERVICE)[0]
     known = caller.cluster.of(SERVICE)[0].name
 
     async def drain(number: str, name: str, *, expected: bool = False) -> tuple[int, str]:
@@ -232,7 +232,7 @@
             drained=True,
             expected=expected,
         )
-        reply = await operator_call(entry.operators, lambda stub: stub.SetDrain(request))
+        reply = await operator_call(ingress.operators, lambda stub: stub.SetDrain(request))
         return reply.code, reply.detail
 
     code, detail = await drain("1", "nonsense")
@@ -245,9 +245,9 @@
 async def test_evacuation_names_a_data_centre_that_exists_and_shows_in_the_status(
     caller: Caller,
 ) -> None:
-    entry = caller.cluster.of(ENTRY_SERVICE)[0]
+    ingress = caller.cluster.of(INGRESS_SERVICE)[0]
     listed = await operator_call(
-        entry.operators, lambda stub: stub.ListBackendServers(pb.ListBackendServersRequest())
+        ingress.operators, lambda stub: stub.ListBackendServers(pb.ListBackendServersRequest())
     )
     known = listed.backend_servers[0].data_centre
 
@@ -255,21 +255,21 @@
         request = pb.SetEvacuationRequest(
             header=pb.ChangeHeader(operation_id=number), data_centre=data_centre, evacuated=True
         )
-        reply = await operator_call(entry.operators, lambda stub: stub.SetEvacuation(request))
+        reply = await operator_call(ingress.operators, lambda stub: stub.SetEvacuation(request))
         return int(reply.code)
 
     assert await evacuate("1", "nowhere") == 4007
     assert await evacuate("2", known) == 0
     status = await operator_call(
-        entry.operators, lambda stub: stub.NodeStatus(pb.NodeStatusRequest())
+        ingress.operators, lambda stub: stub.NodeStatus(pb.NodeStatusRequest())
     )
     assert list(status.evacuated_data_centres) == [known]
 
 
 async def test_node_has_one_thread_no_child_and_no_shared_memory(caller: Caller) -> None:
-    entry = caller.cluster.of(ENTRY_SERVICE)[0]
+    ingress = caller.cluster.of(INGRESS_SERVICE)[0]
     for number in range(10):
-        await caller.send(entry, f"r{number}")
+        await caller.send(ingress, f"r{number}")
     for place in caller.cluster.places:
         assert place.node_process is not None
         pid = place.node_process.pid
--- a/tests/process/test_system_calls.py
+++ b/tests/process/test_system_calls.py
@@ -11,7 +11,7 @@
 
 from standin.cluster import Cluster
 from standin.cluster import Options
-from tests.process.test_processes import ENTRY_SERVICE
+from tests.process.test_processes import INGRESS_SERVICE
 from tests.process.test_processes import SMALL
 from tests.process.test_processes import Caller
 from tool.build_dist import build
@@ -47,10 +47,10 @@
     caller = Caller(cluster)
     try:
         await cluster.start()
-        entry = cluster.of(ENTRY_SERVICE)[0]
-        key = await caller.key(entry)
-        assert (await caller.send(entry, "r", key=key))[0] == "0"
-        assert (await caller.send(entry, "s"))[0] == "0"
+        ingress = cluster.of(INGRESS_SERVICE)[0]
+        key = await caller.key(ingress)
+        assert (await caller.send(ingress, "r", key=key))[0] == "0"
+        assert (await caller.send(ingress, "s"))[0] == "0"
     finally:
         await caller.session.close()
         statuses = await cluster.close()
--- a/tests/retry/test_caller_share.py
+++ b/tests/retry/test_caller_share.py
@@ -10,9 +10,9 @@
 from hoisthook.identity import RouteName
 from hoisthook.retry.caller_share import COUNTED_SHARE
 from hoisthook.retry.caller_share import CallerShares
-from hoisthook.retry.idle_share import UNKNOWN
-from hoisthook.retry.idle_share import UNKNOWN_RUNS_SECONDS
-from hoisthook.retry.idle_share import IdleShare
+from hoisthook.retry.idle_tracker import UNKNOWN
+from hoisthook.retry.idle_tracker import UNKNOWN_RUNS_SECONDS
+from hoisthook.retry.idle_tracker import IdleTracker
 
 WORK_SECONDS = 0.2
 CALLERS_PER_SECOND = 10.0
@@ -28,7 +28,7 @@
     Each run makes a call in its middle; callers ask two routes, one of which is called as well.
     """
     draw = random.Random(seed)
-    idle = IdleShare(0.0)
+    idle = IdleTracker(0.0)
     shares = CallerShares()
     runs = 0
     counted = dict.fromkeys((OWN, CALLED, MIXED), 0.0)
@@ -56,7 +56,7 @@
             asked[route] += 1
         else:
             route = draw.choice((CALLED, MIXED))
-        shares.learn(route, idle.sighting(now))
+        shares.learn(route, idle.idle_observation(now))
         counted[route] += shares.counted(route)
     return counted, asked
 
@@ -84,28 +84,28 @@
 
 
 def test_what_is_known_holds_while_something_always_runs() -> None:
-    idle = IdleShare(0.0)
+    idle = IdleTracker(0.0)
     shares = CallerShares()
     for second in range(10, 60):
-        shares.learn(OWN, idle.sighting(float(second)))
+        shares.learn(OWN, idle.idle_observation(float(second)))
     known = shares.counted(OWN)
     assert known > 0.9 * COUNTED_SHARE
     idle.turned(60.0, is_idle=False)
     for number in range(2000):
-        shares.learn(OWN, idle.sighting(100.0 + 0.01 * number))
+        shares.learn(OWN, idle.idle_observation(100.0 + 0.01 * number))
     assert shares.counted(OWN) > 0.95 * known
 
 
 def test_nothing_is_learned_while_runs_of_a_predecessor_may_make_calls() -> None:
-    idle = IdleShare(10.0)
-    assert idle.sighting(10.0 + 0.9 * UNKNOWN_RUNS_SECONDS) == UNKNOWN
-    assert idle.sighting(10.0 + UNKNOWN_RUNS_SECONDS).is_idle
+    idle = IdleTracker(10.0)
+    assert idle.idle_observation(10.0 + 0.9 * UNKNOWN_RUNS_SECONDS) == UNKNOWN
+    assert idle.idle_observation(10.0 + UNKNOWN_RUNS_SECONDS).is_idle
     shares = CallerShares()
     shares.learn(OWN, UNKNOWN)
     assert shares.counted(OWN) == 0.0
 
 
 def test_backend_server_that_runs_nothing_runs_nothing_of_a_predecessor() -> None:
-    idle = IdleShare(10.0)
+    idle = IdleTracker(10.0)
     idle.emptied(10.1)
-    assert idle.sighting(10.1).is_idle
+    assert idle.idle_observation(10.1).is_idle
--- a/tests/routing/test_try_yield.py
+++ b/tests/routing/test_admission_rate.py
@@ -1,15 +1,15 @@
 from __future__ import annotations
 
 from hoisthook.identity import ServiceName
-from hoisthook.routing.try_yield import MIN_SHARE
-from hoisthook.routing.try_yield import TryYield
+from hoisthook.routing.admission_rate import MIN_SHARE
+from hoisthook.routing.admission_rate import AdmissionRate
 
 SHOP = ServiceName("shop")
 BANK = ServiceName("bank")
 
 
-def yields(admitted: int, refused: int) -> TryYield:
-    seen = TryYield()
+def admission_rate(admitted: int, refused: int) -> AdmissionRate:
+    seen = AdmissionRate()
     for _ in range(refused):
         seen.note(SHOP, 0.0, is_admitted=False)
     for _ in range(admitted):
@@ -18,24 +18,24 @@
 
 
 def test_service_of_which_nothing_is_known_is_worth_another_try() -> None:
-    assert TryYield().is_worth_another(SHOP, 0.0)
+    assert AdmissionRate().is_worth_another(SHOP, 0.0)
 
 
 def test_single_refusal_ends_nothing() -> None:
-    assert yields(0, 1).is_worth_another(SHOP, 0.0)
+    assert admission_rate(0, 1).is_worth_another(SHOP, 0.0)
 
 
 def test_service_that_refuses_nearly_all_is_not_worth_another_try() -> None:
-    seen = yields(1, 39)
+    seen = admission_rate(1, 39)
     assert not seen.is_worth_another(SHOP, 0.0)
     assert seen.is_worth_another(BANK, 0.0)
 
 
 def test_service_that_admits_a_share_is_worth_another_try() -> None:
-    assert yields(2 * round(40 * MIN_SHARE), 40).is_worth_another(SHOP, 0.0)
+    assert admission_rate(2 * round(40 * MIN_SHARE), 40).is_worth_another(SHOP, 0.0)
 
 
 def test_refusals_are_forgotten() -> None:
-    seen = yields(0, 40)
+    seen = admission_rate(0, 40)
     assert not seen.is_worth_another(SHOP, 1.0)
     assert seen.is_worth_another(SHOP, 5.0)
--- a/tests/routing/test_link_pace.py
+++ b/tests/routing/test_link_pacer.py
@@ -4,9 +4,9 @@
 
 import random
 
-from hoisthook.routing.link_pace import AT_ONCE_BYTES
-from hoisthook.routing.link_pace import PIECE_BYTES
-from hoisthook.routing.link_pace import LinkPace
+from hoisthook.routing.link_pacer import AT_ONCE_BYTES
+from hoisthook.routing.link_pacer import PIECE_BYTES
+from hoisthook.routing.link_pacer import LinkPacer
 
 MBPS = 12.0
 LINK_BYTES_PER_SECOND = MBPS * 1e6 / 8
@@ -17,7 +17,7 @@
     chance = random.Random(seed)
     sizes = [min(540_000, int(chance.lognormvariate(11.2, 0.6))) for _ in range(bodies)]
     sent: list[tuple[float, int]] = []
-    pace = LinkPace(MBPS)
+    link_pacer = LinkPacer(MBPS)
     if paced:
         left = dict(enumerate(sizes))
         moment = dict.fromkeys(left, 0.0)
@@ -25,7 +25,7 @@
             # Each body hands over its next piece when its turn has come.
             body = min(left, key=lambda number: moment[number])
             size = min(PIECE_BYTES, left[body])
-            moment[body] += pace.wait(size, moment[body])
+            moment[body] += link_pacer.wait(size, moment[body])
             sent.append((moment[body], size))
             left[body] -= size
             if left[body] <= 0:
@@ -52,18 +52,18 @@
 
 
 def test_short_answers_and_unknown_links_are_not_spread() -> None:
-    assert not LinkPace(MBPS).spreads(AT_ONCE_BYTES)
-    assert LinkPace(MBPS).spreads(AT_ONCE_BYTES + 1)
-    assert not LinkPace(0.0).spreads(10**9)
-    assert LinkPace(0.0).wait(10**9, 5.0) == 0.0
+    assert not LinkPacer(MBPS).spreads(AT_ONCE_BYTES)
+    assert LinkPacer(MBPS).spreads(AT_ONCE_BYTES + 1)
+    assert not LinkPacer(0.0).spreads(10**9)
+    assert LinkPacer(0.0).wait(10**9, 5.0) == 0.0
 
 
 def test_a_wide_link_waits_for_nothing() -> None:
-    pace = LinkPace(10_000.0)
-    assert [pace.wait(PIECE_BYTES, 1.0) for _ in range(50)] == [0.0] * 50
+    link_pacer = LinkPacer(10_000.0)
+    assert [link_pacer.wait(PIECE_BYTES, 1.0) for _ in range(50)] == [0.0] * 50
 
 
 def test_what_went_out_at_once_delays_the_pieces_behind_it() -> None:
-    pace = LinkPace(MBPS)
-    pace.sent(AT_ONCE_BYTES, 1.0)
-    assert pace.wait(PIECE_BYTES, 1.0) > 0.01
+    link_pacer = LinkPacer(MBPS)
+    link_pacer.sent(AT_ONCE_BYTES, 1.0)
+    assert link_pacer.wait(PIECE_BYTES, 1.0) > 0.01
