--- a/tests/routing/test_peer_choice.py
+++ b/tests/routing/test_peer_choice.py
@@ -8,7 +8,7 @@
 from hoisthook.identity import RequestId
 from hoisthook.identity import RouteName
 from hoisthook.identity import ServiceName
-from hoisthook.mesh.beside_load import BesideLoad
+from hoisthook.mesh.node_load import NodeLoad
 from hoisthook.mesh.peer import FAILING_LIFE_SECONDS
 from hoisthook.mesh.peer import Peer
 from hoisthook.mesh.peer_choice import ChoiceSettings
@@ -64,7 +64,7 @@
 def report_failing(directory: PeerDirectory, place: str, share: float) -> None:
     for view in directory.serving(SHOP):
         if view.peer.data_centre == place:
-            view.reported(BesideLoad(1, 0, 4, 1.0, share), NOW - 1.0)
+            view.reported(NodeLoad(1, 0, 4, 1.0, share), NOW - 1.0)
 
 
 def test_near_servers_are_kept_where_all_that_are_known_fail_alike() -> None:
@@ -77,7 +77,7 @@
     directory = fleet(near=3, far=3)
     report_failing(directory, "one", 0.0)
     worst = next(iter(directory.serving(SHOP)))
-    worst.reported(BesideLoad(1, 0, 4, 1.0, 0.5), NOW - 1.0)
+    worst.reported(NodeLoad(1, 0, 4, 1.0, 0.5), NOW - 1.0)
     choice = PeerChoice(directory, ChoiceSettings(0.25), Evacuations(ListLog()), random.Random(1))
     assert all(choice.direct(call(), (), NOW) is not worst for _ in range(100))
 
@@ -85,8 +85,8 @@
 def test_failures_of_long_ago_do_not_keep_a_server_from_being_asked_again() -> None:
     directory = fleet(near=2, far=6)
     near = [view for view in directory.serving(SHOP) if view.same_data_centre]
-    near[0].reported(BesideLoad(1, 0, 4, 1.0, 0.0), NOW)
-    near[1].reported(BesideLoad(1, 0, 4, 1.0, 0.6), NOW)
+    near[0].reported(NodeLoad(1, 0, 4, 1.0, 0.0), NOW)
+    near[1].reported(NodeLoad(1, 0, 4, 1.0, 0.6), NOW)
     later = NOW + 4 * FAILING_LIFE_SECONDS
     choice = PeerChoice(directory, ChoiceSettings(0.25), Evacuations(ListLog()), random.Random(1))
     assert near[1] not in {choice.direct(call(), (), NOW) for _ in range(100)}
--- a/tests/teams/test_quota_fleet.py
+++ b/tests/teams/test_quota_fleet.py
@@ -226,8 +226,11 @@
     async def story(fleet: Fleet) -> None:
         await fleet.press(MIDDLE, 200.0, 2.0)
         assert MIDDLE.quota is not None
-        desks = [fleet.nodes[n].desk for n in range(10)]
-        refused = [await desk.admit(MIDDLE.name, MIDDLE.quota) for desk in desks]
+        quota_coordinators = [fleet.nodes[n].quota_coordinator for n in range(10)]
+        refused = [
+            await quota_coordinator.admit(MIDDLE.name, MIDDLE.quota)
+            for quota_coordinator in quota_coordinators
+        ]
         times = {round(r.retry_after, 3) for r in refused if isinstance(r, OverQuota)}
         assert len(times) >= 5
         assert all(0 < time <= 2.0 for time in times)
--- a/tests/traffic/test_configuration_spreading.py
+++ b/tests/traffic/test_configuration_spreading.py
@@ -14,7 +14,7 @@
 from hoisthook.traffic.configuration_history import MAX_VERSIONS
 from hoisthook.traffic.configuration_history import ConfigurationHistory
 from hoisthook.traffic.configuration_parts import NO_VERSION
-from hoisthook.traffic.configuration_parts import ConfigurationNews
+from hoisthook.traffic.configuration_parts import ConfigurationDelta
 from hoisthook.traffic.configuration_parts import ConfigurationParts
 from hoisthook.traffic.configuration_parts import PartKey
 from standin.mesh_system import ListLog
@@ -29,31 +29,31 @@
     return ConfigurationParts(version, {PartKey(k): v.encode() for k, v in texts.items()})
 
 
-def news_between(*versions: ConfigurationParts, since: int) -> ConfigurationNews:
+def delta_between(*versions: ConfigurationParts, since: int) -> ConfigurationDelta:
     history = ConfigurationHistory()
     for version in versions:
         history.take(version)
-    news = history.since(since)
-    assert news is not None
-    return news
+    delta = history.since(since)
+    assert delta is not None
+    return delta
 
 
 def test_difference_holds_what_has_changed_and_what_is_gone() -> None:
     before = parts(3, kept="k", changed="old", gone="g")
     after = parts(4, kept="k", changed="new", added="a")
-    news = news_between(before, after, since=3)
-    assert news.base == 3
-    assert sorted(news.parts) == ["added", "changed"]
-    assert news.removed == ["gone"]
-    applied = news.applied_to(before)
+    delta = delta_between(before, after, since=3)
+    assert delta.base == 3
+    assert sorted(delta.parts) == ["added", "changed"]
+    assert delta.removed == ["gone"]
+    applied = delta.applied_to(before)
     assert applied is not None
     assert applied.by_key == after.by_key
 
 
 def test_node_without_a_configuration_gets_the_whole() -> None:
-    news = news_between(parts(3, a="1"), since=NO_VERSION)
-    assert news.base == NO_VERSION
-    assert news.applied_to(None) == parts(3, a="1")
+    delta = delta_between(parts(3, a="1"), since=NO_VERSION)
+    assert delta.base == NO_VERSION
+    assert delta.applied_to(None) == parts(3, a="1")
 
 
 def test_nothing_is_told_to_who_has_as_much() -> None:
@@ -64,15 +64,15 @@
 
 
 def test_part_changed_and_changed_back_by_a_version_passed_over_is_found_out() -> None:
-    told = news_between(parts(3, a="1"), parts(5, a="1", b="2"), since=4)
+    told = delta_between(parts(3, a="1"), parts(5, a="1", b="2"), since=4)
     # Whoever asks has version 4, in which the part was another.
     assert told.applied_to(parts(4, a="x")) is None
 
 
 def test_who_is_too_far_behind_gets_the_whole() -> None:
     versions = [parts(number, a=str(number)) for number in range(MAX_VERSIONS + 2)]
-    assert news_between(*versions, since=0).base == NO_VERSION
-    assert news_between(*versions, since=MAX_VERSIONS).base == MAX_VERSIONS
+    assert delta_between(*versions, since=0).base == NO_VERSION
+    assert delta_between(*versions, since=MAX_VERSIONS).base == MAX_VERSIONS
 
 
 @given(st.lists(by_keys, min_size=2, max_size=8), st.data())
@@ -87,9 +87,9 @@
     for version in [versions[number] for number in sorted(had)] + [newest]:
         history.take(version)
     known = data.draw(st.sampled_from(versions[:-1]))
-    news = history.since(known.version)
-    assert news is not None
-    applied = news.applied_to(known)
+    delta = history.since(known.version)
+    assert delta is not None
+    applied = delta.applied_to(known)
     if applied is None:
         whole = history.since(NO_VERSION)
         assert whole is not None
@@ -109,10 +109,10 @@
     assert before is not None
     assert after is not None
     difference = encode_message(
-        SyncReply(configuration=news_between(before.parts, after.parts, since=1))
+        SyncReply(configuration=delta_between(before.parts, after.parts, since=1))
     )
     whole = encode_message(
-        SyncReply(configuration=news_between(before.parts, after.parts, since=NO_VERSION))
+        SyncReply(configuration=delta_between(before.parts, after.parts, since=NO_VERSION))
     )
     assert len(raw) > 1_000_000
     assert len(difference) < 1_000
--- a/tests/traffic/test_evacuation_reading.py
+++ b/tests/traffic/test_evacuation_reading.py
@@ -29,7 +29,7 @@
 def test_lost_evacuation_stays_until_it_is_written_again() -> None:
     reading = EvacuationReading("evacuate/")
     reading.take_list([record("one", 3)], 0.0)
-    reading.came_back_older(10.0)
+    reading.store_regressed(10.0)
     reading.take_list([], 10.1)
     assert reading.data_centres == {"one"}
     reading.take_changes([record("one", 2)])
@@ -41,7 +41,7 @@
     reading = EvacuationReading("evacuate/")
     reading.take_list([record("one", 3)], 0.0)
     reading.take_changes([record("one", 7, b"")])
-    reading.came_back_older(10.0)
+    reading.store_regressed(10.0)
     reading.take_list([record("one", 3)], 10.1)
     assert reading.data_centres == set()
 
@@ -50,7 +50,7 @@
     reading = EvacuationReading("evacuate/")
     reading.take_list([record("one", 3)], 0.0)
     reading.take_changes([record("one", 7, b"")])
-    reading.came_back_older(10.0)
+    reading.store_regressed(10.0)
     reading.take_list([record("one", 5), record("two", 6)], 10.1)
     assert reading.data_centres == {"one", "two"}
 
@@ -58,7 +58,7 @@
 def test_restoration_after_the_return_holds_at_once_and_the_list_after_the_doubt() -> None:
     reading = EvacuationReading("evacuate/")
     reading.take_list([record("one", 3), record("two", 4)], 0.0)
-    reading.came_back_older(10.0)
+    reading.store_regressed(10.0)
     reading.take_list([record("one", 3)], 10.1)
     reading.take_changes([record("one", 4, b"")])
     assert reading.data_centres == {"two"}
