--- a/benchmark/crashing.py
+++ b/benchmark/crashing.py
@@ -102,7 +102,7 @@
                 machine.backend.crash_on(CRASHING.encode())
                 machine.backend.work_seconds = WORK_SECONDS
                 self._shops.append(machine)
-        system.introduce_all()
+        system.merge_all_peers()
         system.publish(1, RouteOptions("shop", attempts=3))
         await system.until_configured(1)
 
@@ -114,7 +114,7 @@
             self._ended_at.append(loop.time())
             await asyncio.sleep(AWAY_SECONDS)
             await shop.backend.start_as(f"{shop.backend.instance}+")
-            await shop.beat()
+            await shop.send_heartbeat()
 
     async def _send_crashing(self, until: float) -> None:
         loop = asyncio.get_running_loop()
--- a/benchmark/latency.py
+++ b/benchmark/latency.py
@@ -37,7 +37,7 @@
     """Return all figures of one run."""
     service = next(iter(cluster.deployment.count_by_service))
     serving = cluster.of(service)
-    entries = [place for place in cluster.places if place.service != service]
+    entries = [instance for instance in cluster.instances if instance.service != service]
     await asyncio.sleep(SETTLE_SECONDS)
     idle = await _idle_costs(cluster)
     plan = Plan(
@@ -91,16 +91,16 @@
         "cpu_percent_max": round(max(shares), 2),
         "resident_mb_max": round(max(u.resident_bytes for u in after) / 1e6, 1),
         "loopback_kb_per_s_per_node": round(
-            (octets_after - octets) / IDLE_SECONDS / len(cluster.places) / 1000.0, 2
+            (octets_after - octets) / IDLE_SECONDS / len(cluster.instances) / 1000.0, 2
         ),
     }
 
 
 async def _measuring(cluster: Cluster) -> dict[str, object]:
     requests, size, spent = 0, 0, 0.0
-    for place in cluster.places:
+    for instance in cluster.instances:
         status = await operator_call(
-            place.operators, lambda stub: stub.NodeStatus(pb.NodeStatusRequest())
+            instance.operators, lambda stub: stub.NodeStatus(pb.NodeStatusRequest())
         )
         requests += status.measure_requests
         size += status.measure_bytes
@@ -109,7 +109,7 @@
 
 
 def _usages(cluster: Cluster) -> list[Usage]:
-    return [usage_of(p.node_process.pid) for p in cluster.places if p.node_process is not None]
+    return [usage_of(p.node_process.pid) for p in cluster.instances if p.node_process is not None]
 
 
 def print_table(rows: dict[str, object]) -> None:
--- a/benchmark/policy.py
+++ b/benchmark/policy.py
@@ -52,11 +52,11 @@
     """Slow one backend server 10 times for 200 ms, then the next."""
     number = 0
     while True:
-        place = cluster.of(service)[number % len(cluster.of(service))]
+        instance = cluster.of(service)[number % len(cluster.of(service))]
         number += 1
-        await post_json(f"{place.backend_url}/_behave", {"slow": SLOW_FACTOR})
+        await post_json(f"{instance.backend_url}/_behave", {"slow": SLOW_FACTOR})
         await asyncio.sleep(SLOW_SECONDS)
-        await post_json(f"{place.backend_url}/_behave", {"slow": 1.0})
+        await post_json(f"{instance.backend_url}/_behave", {"slow": 1.0})
         await asyncio.sleep(SLOW_SECONDS)
 
 
@@ -112,7 +112,7 @@
     capacity = deployment.count_by_service[service] * deployment.slots / (WORK_MS / 1000.0)
     try:
         await cluster.start()
-        entries = [("127.0.0.1", place.callers) for place in cluster.of(entry_service)]
+        entries = [("127.0.0.1", instance.callers) for instance in cluster.of(entry_service)]
         await asyncio.sleep(2.5)
         plan = Plan(
             targets=[Target("calls", entries, {"host": "h", "hoisthook-service": service})],
@@ -134,10 +134,10 @@
 
 async def _measured(cluster: Cluster) -> dict[str, object]:
     requests = 0
-    for place in cluster.places:
+    for instance in cluster.instances:
         with contextlib.suppress(OSError):
             status = await operator_call(
-                place.operators, lambda stub: stub.NodeStatus(pb.NodeStatusRequest())
+                instance.operators, lambda stub: stub.NodeStatus(pb.NodeStatusRequest())
             )
             requests += status.measure_requests
     return {"measure_requests": requests}
--- a/benchmark/quotas.py
+++ b/benchmark/quotas.py
@@ -17,8 +17,8 @@
 from hoisthook.token_bucket import TokenBucket
 from standin.quota_fleet import BOUNDS
 from standin.quota_fleet import Fleet
-from standin.quota_fleet import bound
-from standin.quota_fleet import play
+from standin.quota_fleet import run_scenario
+from standin.quota_fleet import window_limit
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -88,11 +88,11 @@
 def given_out(per_second: float, seed: int) -> tuple[list[float], int]:
     """Return what the way that is used admits: tokens from one node a data centre."""
 
-    async def story(fleet: Fleet) -> None:
-        await fleet.press(LARGE, per_second, SECONDS)
+    async def scenario(fleet: Fleet) -> None:
+        await fleet.send_requests(LARGE, per_second, SECONDS)
 
-    fleet = play(NODES, seed, story)
-    return fleet.admitted[LARGE.name], fleet.asked[LARGE.name]
+    fleet = run_scenario(NODES, seed, scenario)
+    return fleet.admitted[LARGE.name], fleet.requested[LARGE.name]
 
 
 def most_in_window(times: list[float]) -> int:
@@ -114,8 +114,8 @@
     for name, way in ways.items():
         usual = [way(USUAL_PER_SECOND, seed) for seed in SEEDS]
         hot = [way(HOT_PER_SECOND, seed) for seed in SEEDS]
-        refused = 1.0 - sum(len(a) for a, _ in usual) / sum(asked for _, asked in usual)
-        most = max(most_in_window(a) for a, _ in hot) / bound(quota)
+        refused = 1.0 - sum(len(a) for a, _ in usual) / sum(requested for _, requested in usual)
+        most = max(most_in_window(a) for a, _ in hot) / window_limit(quota)
         got = sum(len(a) for a, _ in hot) / len(SEEDS) / (quota.per_second * SECONDS)
         sys.stdout.write(
             f"{name}: usual load refused {refused:.1%}, hot team's fullest window {most:.2f} of "
--- a/standin/__init__.py
+++ b/standin/__init__.py
@@ -1,3 +1,3 @@
-"""Small stand-ins for what surrounds hoisthook; not shipped."""
+"""Stand-ins for the systems that hoisthook depends on, for tests and benchmarks; not shipped."""
 
 from __future__ import annotations
--- a/standin/backend_server.py
+++ b/standin/backend_server.py
@@ -1,12 +1,13 @@
-"""A stand-in for a backend server.
+"""A stand-in for a backend server, as a process of its own.
 
 Usage: python -m standin.backend_server --port PORT --id ID --service NAME
        --slots N --announce HOST:PORT [--work-ms MS]
 
-Each request holds one of the slots for the work's time; more wait. ``GET
-/_load`` reports load, ``GET /_runs`` lists what ran, ``POST /_behave`` changes
-behaviour: ``work_ms``, ``slow`` (factor), ``fail`` (answer 500 at once),
-``draining``, ``cut_body`` (die mid-answer), ``shed``, ``announce``.
+Each request holds a slot for its service time; further requests wait for one.
+``GET /_load`` reports the load, ``GET /_runs`` lists the executed requests,
+``POST /_behave`` changes the behaviour: ``work_ms`` (mean service time), ``slow``
+(factor of it), ``fail`` (status 500 at once), ``draining``, ``cut_body`` (abort
+during the response), ``shed`` (reject all requests), ``announce``.
 """
 
 from __future__ import annotations
@@ -34,7 +35,17 @@
 
 
 class Behaviour(msgspec.Struct):
-    """How the backend server behaves at present."""
+    """Current behaviour of the backend server.
+
+    Attributes
+    ----------
+    work_ms : float
+        Mean service time in milliseconds.
+    spread : float
+        Largest deviation from the mean, as a share of it.
+    slow : float
+        Factor of the service time.
+    """
 
     work_ms: float = 5.0
     spread: float = 0.3
@@ -47,7 +58,7 @@
 
 
 class BackendServerStandin:
-    """Runs requests in slots and remembers which."""
+    """ASGI application that executes requests in slots and records which."""
 
     def __init__(self, backend_server: str, service: str, address: str, slots: int) -> None:
         self.id = backend_server
@@ -88,7 +99,7 @@
             await self._work(scope, body, receive, send)
 
     def announcement(self) -> dict[str, Any]:
-        """Return what to tell the node beside."""
+        """Return the announcement to the server's own node."""
         return {
             "backend_server": self.id,
             "service": self.service,
@@ -110,32 +121,32 @@
             self.runs.append(name)
             await self._send(send, 500, b"failed")
             return
-        gone = asyncio.ensure_future(receive())
+        disconnected = asyncio.ensure_future(receive())
         self.active += 1
         try:
             async with self._slots:
-                if gone.done():
+                if disconnected.done():
                     return
                 self.runs.append(name)
-                await asyncio.wait([gone], timeout=self._seconds(headers))
-                if gone.done():
+                await asyncio.wait([disconnected], timeout=self._seconds(headers))
+                if disconnected.done():
                     return
             if behaviour.cut_body:
                 await send({"type": "http.response.start", "status": 200, "headers": []})
                 await send({"type": "http.response.body", "body": b"half", "more_body": True})
-                raise ConnectionAbortedError("cut on purpose")
+                raise ConnectionAbortedError("response cut off by the injected fault")
             answer = self._json({"by": self.id, "run": name, "echo": body.decode("latin-1")})
             await self._send(send, 200, answer)
         finally:
             self.active -= 1
-            gone.cancel()
+            disconnected.cancel()
 
     def _seconds(self, headers: dict[bytes, bytes]) -> float:
-        work = float(headers.get(b"x-work-ms", b"") or self.behaviour.work_ms)
+        mean_ms = float(headers.get(b"x-work-ms", b"") or self.behaviour.work_ms)
         spread = self.behaviour.spread
-        drawn = work * (1.0 - spread + 2.0 * spread * self._random.random())
-        # Slowness is looked up when the work begins, as a noisy neighbour's would be.
-        return drawn * self.behaviour.slow / 1000.0
+        drawn_ms = mean_ms * (1.0 - spread + 2.0 * spread * self._random.random())
+        # The factor applies to requests that start from now on, as with a noisy neighbour.
+        return drawn_ms * self.behaviour.slow / 1000.0
 
     async def _send(
         self,
@@ -157,7 +168,7 @@
 
 
 async def announce_forever(server: BackendServerStandin, node: str) -> None:
-    """Announce the backend server to the node beside it until cancelled."""
+    """Announce the backend server to its node until cancelled."""
     url = f"http://{node}/hoisthook/v1/announce"
     async with aiohttp.ClientSession() as session:
         while True:
@@ -171,7 +182,7 @@
 
 
 async def serve(server: BackendServerStandin, port: int, node: str) -> None:
-    """Serve and announce until signalled."""
+    """Serve requests and announce the backend server until a signal stops it."""
     config = uvicorn.Config(
         server,
         host="127.0.0.1",
--- a/standin/cluster.py
+++ b/standin/cluster.py
@@ -1,4 +1,4 @@
-"""Starts a deployment as separate processes on loopback, and stops it by process id."""
+"""Runs a deployment as separate processes on loopback."""
 
 from __future__ import annotations
 
@@ -40,8 +40,16 @@
 
 
 @dataclass(slots=True)
-class Place:
-    """One backend server and the node beside it."""
+class Instance:
+    """One instance: a backend server and its node, with the ports of both.
+
+    Attributes
+    ----------
+    callers, peers, announcements, operators : int
+        Ports that the node listens on.
+    backend : int
+        Port that the backend server listens on.
+    """
 
     name: str
     service: str
@@ -56,18 +64,28 @@
 
     @property
     def url(self) -> str:
-        """Return where callers reach the node."""
+        """Return the URL that callers use."""
         return f"http://127.0.0.1:{self.callers}"
 
     @property
     def backend_url(self) -> str:
-        """Return where the backend server itself listens."""
+        """Return the URL of the backend server."""
         return f"http://127.0.0.1:{self.backend}"
 
 
 @dataclass(slots=True)
 class Options:
-    """What differs between the uses of a cluster."""
+    """Options of a cluster.
+
+    Attributes
+    ----------
+    base_port : int
+        First port; 0 to allocate a free block of ports.
+    work_ms : float
+        Mean service time of the backend servers, in milliseconds.
+    program : list of str
+        Command that runs a node.
+    """
 
     base_port: int = 0
     policy: str = "hoisthook"
@@ -80,36 +98,38 @@
 
 
 class Cluster:
-    """All processes of one deployment."""
+    """The processes of one deployment: nodes, backend servers and the log service."""
 
     def __init__(self, deployment: Deployment, options: Options | None = None) -> None:
         self.deployment = deployment
         self.options = options or Options()
         self.folder = Path(tempfile.mkdtemp(prefix="hoisthook-"))
-        self.places: list[Place] = []
+        self.instances: list[Instance] = []
         self.log_port = 0
         self._block: PortBlock | None = None
         self._log_process: asyncio.subprocess.Process | None = None
 
     async def start(self) -> None:
-        """Start everything, put the services, and wait until all nodes know all."""
+        """Start all processes, create the services, and wait until all nodes know all of them."""
         self._plan()
         self._log_process = await self._spawn(
             [sys.executable, "-m", "standin.platform_log", "--port", str(self.log_port)]
         )
-        await asyncio.gather(*(self.start_node(place) for place in self.places))
-        await asyncio.gather(*(self.start_backend(place) for place in self.places))
+        await asyncio.gather(*(self.start_node(instance) for instance in self.instances))
+        await asyncio.gather(*(self.start_backend(instance) for instance in self.instances))
         await self._wait_for_port(self.log_port)
-        await asyncio.gather(*(self._wait_for_port(place.operators) for place in self.places))
+        await asyncio.gather(
+            *(self._wait_for_port(instance.operators) for instance in self.instances)
+        )
         for spec in self.deployment.specs():
             await self.put_service(spec, 0, f"setup-{spec.name}")
         await self.wait_until_known()
 
     async def close(self) -> list[int]:
-        """Stop everything gracefully and return the nodes' exit statuses."""
-        nodes = [p.node_process for p in self.places if p.node_process is not None]
+        """Stop all processes gracefully and return the nodes' exit statuses."""
+        nodes = [p.node_process for p in self.instances if p.node_process is not None]
         statuses = await asyncio.gather(*(stop(process) for process in nodes))
-        others = [p.backend_process for p in self.places if p.backend_process is not None]
+        others = [p.backend_process for p in self.instances if p.backend_process is not None]
         if self._log_process is not None:
             others.append(self._log_process)
         await asyncio.gather(*(stop(process) for process in others))
@@ -120,41 +140,41 @@
         self.folder.rmdir()
         return list(statuses)
 
-    async def start_node(self, place: Place) -> None:
-        """Start the node of a place."""
-        path = self.folder / f"{place.name}.toml"
-        path.write_text(self._settings(place))
-        with (self.folder / f"{place.name}.log").open("a") as errors:
-            place.node_process = await asyncio.create_subprocess_exec(
+    async def start_node(self, instance: Instance) -> None:
+        """Start the node of an instance."""
+        path = self.folder / f"{instance.name}.toml"
+        path.write_text(self._settings(instance))
+        with (self.folder / f"{instance.name}.log").open("a") as errors:
+            instance.node_process = await asyncio.create_subprocess_exec(
                 *self.options.program, "run", str(path), stderr=errors
             )
 
-    async def start_backend(self, place: Place) -> None:
-        """Start the backend server of a place."""
-        place.backend_process = await self._spawn(
+    async def start_backend(self, instance: Instance) -> None:
+        """Start the backend server of an instance."""
+        instance.backend_process = await self._spawn(
             [
-                *[sys.executable, "-m", "standin.backend_server", "--port", str(place.backend)],
-                *["--id", f"{place.name}", "--service", place.service],
+                *[sys.executable, "-m", "standin.backend_server", "--port", str(instance.backend)],
+                *["--id", f"{instance.name}", "--service", instance.service],
                 *["--slots", str(self.deployment.slots)],
-                *["--announce", f"127.0.0.1:{place.announcements}"],
+                *["--announce", f"127.0.0.1:{instance.announcements}"],
                 *["--work-ms", str(self.options.work_ms)],
             ]
         )
 
-    def of(self, service: str) -> list[Place]:
-        """Return the places of a service."""
-        return [place for place in self.places if place.service == service]
+    def of(self, service: str) -> list[Instance]:
+        """Return the instances of a service."""
+        return [instance for instance in self.instances if instance.service == service]
 
     async def put_service(
         self, spec: ServiceSpec, base_revision: int, operation_id: str
     ) -> pb.ChangeReply:
-        """Put a service through the first node; repeat while the log starts up."""
+        """Create or replace a service at the first node; retry while the log service starts up."""
         header = pb.ChangeHeader(operation_id=operation_id, base_revision=base_revision)
         request = pb.PutServiceRequest(header=header, service=spec_to_message(spec))
         async with asyncio.timeout(READY_SECONDS):
             while True:
                 reply: pb.ChangeReply = await operator_call(
-                    self.places[0].operators, lambda stub: stub.PutService(request)
+                    self.instances[0].operators, lambda stub: stub.PutService(request)
                 )
                 if reply.code not in (4002, 4003):
                     return reply
@@ -162,24 +182,26 @@
 
     async def wait_until_known(self) -> None:
         """Wait until every node knows every backend server and service."""
-        count = len(self.places)
+        count = len(self.instances)
 
-        async def knows_all(place: Place) -> bool:
+        async def knows_all(instance: Instance) -> bool:
             reply = await operator_call(
-                place.operators,
+                instance.operators,
                 lambda stub: stub.ListBackendServers(pb.ListBackendServersRequest()),
             )
             ready = [entry for entry in reply.backend_servers if entry.takes_work]
             services = await operator_call(
-                place.operators, lambda stub: stub.ListServices(pb.ListServicesRequest())
+                instance.operators, lambda stub: stub.ListServices(pb.ListServicesRequest())
             )
             known = len(services.entries) >= len(self.deployment.count_by_service)
             return len(ready) >= count and known
 
-        await asyncio.gather(*(wait_until(partial(knows_all, place)) for place in self.places))
+        await asyncio.gather(
+            *(wait_until(partial(knows_all, instance)) for instance in self.instances)
+        )
 
     async def log_faults(self, **faults: object) -> None:
-        """Set the log stand-in's faults."""
+        """Replace the faults of the log service."""
         await post_json(f"http://127.0.0.1:{self.log_port}/faults", faults)
 
     def _plan(self) -> None:
@@ -188,19 +210,19 @@
             names.extend((f"{service}-{number}", service) for number in range(1, count + 1))
         ports = self._ports(1 + 5 * len(names))
         self.log_port = ports[0]
-        kinds = [ports[1 + k * len(names) : 1 + (k + 1) * len(names)] for k in range(5)]
+        ports_by_kind = [ports[1 + k * len(names) : 1 + (k + 1) * len(names)] for k in range(5)]
         centres = self.deployment.data_centres
         for number, (name, service) in enumerate(names):
-            self.places.append(
-                Place(
+            self.instances.append(
+                Instance(
                     name=name,
                     service=service,
                     data_centre=centres[number % len(centres)],
-                    callers=kinds[0][number],
-                    peers=kinds[1][number],
-                    announcements=kinds[2][number],
-                    operators=kinds[3][number],
-                    backend=kinds[4][number],
+                    callers=ports_by_kind[0][number],
+                    peers=ports_by_kind[1][number],
+                    announcements=ports_by_kind[2][number],
+                    operators=ports_by_kind[3][number],
+                    backend=ports_by_kind[4][number],
                 )
             )
 
@@ -209,22 +231,22 @@
             self._block = PortBlock(count)
             return self._block.ports
         base = self.options.base_port
-        each = (count - 1) // 5
-        return [base, *(base + 100 * (k + 1) + n for k in range(5) for n in range(each))]
+        count_of_each = (count - 1) // 5
+        return [base, *(base + 100 * (k + 1) + n for k in range(5) for n in range(count_of_each))]
 
-    def _settings(self, place: Place) -> str:
-        seeds = ", ".join(f'"127.0.0.1:{other.peers}"' for other in self.places[:3])
+    def _settings(self, instance: Instance) -> str:
+        seeds = ", ".join(f'"127.0.0.1:{other.peers}"' for other in self.instances[:3])
         options = self.options
         return f"""
 [node]
-id = "{place.name}"
-data_centre = "{place.data_centre}"
+id = "{instance.name}"
+data_centre = "{instance.data_centre}"
 
 [listen]
-callers = "127.0.0.1:{place.callers}"
-peers = "127.0.0.1:{place.peers}"
-announcements = "127.0.0.1:{place.announcements}"
-operators = "127.0.0.1:{place.operators}"
+callers = "127.0.0.1:{instance.callers}"
+peers = "127.0.0.1:{instance.peers}"
+announcements = "127.0.0.1:{instance.announcements}"
+operators = "127.0.0.1:{instance.operators}"
 
 [log]
 address = "127.0.0.1:{self.log_port}"
@@ -261,10 +283,11 @@
 
 
 class PortBlock:
-    """Ports below the system's own range, kept from other clusters by a guard socket.
+    """A block of ports, reserved against other clusters by a bound socket.
 
-    A port that the system chose and that is then closed may go to any outgoing
-    connection before its server starts; these may not.
+    The ports lie below the range that the operating system assigns to outgoing connections. A
+    port that the system has chosen, and that is closed until its server starts, may be assigned
+    to an outgoing connection in between.
     """
 
     def __init__(self, count: int) -> None:
@@ -272,7 +295,7 @@
         self.ports = list(range(first + 1, first + 1 + count))
 
     def close(self) -> None:
-        """Let others have the block."""
+        """Release the block."""
         self._guard.close()
 
     def _claim(self) -> tuple[socket.socket, int]:
@@ -281,11 +304,11 @@
         for start in starts:
             with contextlib.suppress(OSError):
                 return socket.create_server(("127.0.0.1", start)), start
-        raise RuntimeError("no block of ports is free")
+        raise RuntimeError("no free block of ports on loopback")
 
 
 async def stop(process: asyncio.subprocess.Process) -> int:
-    """Ask a process to stop, and return its exit status."""
+    """Send SIGTERM to a process, and return its exit status."""
     if process.returncode is None:
         with contextlib.suppress(ProcessLookupError):
             process.send_signal(signal.SIGTERM)
@@ -295,12 +318,12 @@
 async def wait_until(
     condition: Callable[[], Awaitable[bool]], timeout: float = READY_SECONDS
 ) -> None:
-    """Ask again and again until the condition holds.
+    """Poll a condition until it holds; an `OSError` counts as not holding.
 
     Raises
     ------
     TimeoutError
-        If it does not within ``timeout`` seconds.
+        If it does not hold within ``timeout`` seconds.
     """
     async with asyncio.timeout(timeout):
         while True:
@@ -311,7 +334,7 @@
 
 
 async def operator_call(port: int, method: Callable[[OperatorStub], Awaitable[T]]) -> T:
-    """Make one operators' call."""
+    """Make one call to a node's operator API."""
     channel = Channel("127.0.0.1", port)
     try:
         return await method(OperatorStub(channel))
--- a/standin/deployment.py
+++ b/standin/deployment.py
@@ -1,4 +1,4 @@
-"""The two deployments of the users, in small."""
+"""Scaled-down versions of the two users' deployments."""
 
 from __future__ import annotations
 
@@ -10,7 +10,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """Data centres and services with the number of their backend servers."""
+    """Data centres, and the number of backend servers of each service.
+
+    Attributes
+    ----------
+    slots : int
+        Requests that a backend server executes at a time.
+    """
 
     name: str
     data_centres: tuple[str, ...]
@@ -19,8 +25,8 @@
 
     def specs(self) -> list[ServiceSpec]:
         """Return the services' specifications."""
-        balance = OperationSpec("POST", "/search", repeatable=True)
-        return [ServiceSpec(name, (balance,)) for name in self.count_by_service]
+        search = OperationSpec("POST", "/search", repeatable=True)
+        return [ServiceSpec(name, (search,)) for name in self.count_by_service]
 
 
 TERANGA = Deployment(
--- a/standin/fault_proxy.py
+++ b/standin/fault_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy on loopback whose connections can be delayed, reset, cut one way or silenced."""
+"""A TCP proxy that can delay, reset or refuse connections, or stall them in one or both directions."""
 
 from __future__ import annotations
 
@@ -15,7 +15,12 @@
 
 
 class Link(Enum):
-    """What the proxy does to bytes."""
+    """How the proxy treats its connections.
+
+    ``SOUND`` forwards everything, ``DELAYED`` adds a delay to each chunk, ``SILENT`` holds all
+    bytes back, ``ONE_WAY`` holds the bytes from the target back, and ``REFUSED`` resets new
+    connections.
+    """
 
     SOUND = "sound"
     DELAYED = "delayed"
@@ -25,12 +30,12 @@
 
 
 class FaultProxy:
-    """Copies bytes to one address for as long as its link is sound.
+    """Forwards connections to one address, subject to the state of `link`.
 
     Parameters
     ----------
     target : Address
-        Where the bytes go.
+        Address that connections are forwarded to.
     """
 
     def __init__(self, target: Address) -> None:
@@ -41,17 +46,17 @@
 
     @property
     def address(self) -> Address:
-        """Return where it listens."""
+        """Return the address that the proxy listens on."""
         assert self._server is not None
         host, port = self._server.sockets[0].getsockname()[:2]
         return host, port
 
     async def start(self) -> None:
-        """Open the socket."""
+        """Start listening."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
 
     def close(self) -> None:
-        """Drop everything."""
+        """Stop listening and reset all connections."""
         if self._server is not None:
             self._server.close()
         self.link = Link.SOUND
@@ -67,30 +72,30 @@
             writer.transport.abort()
             return
         try:
-            far_reader, far_writer = await asyncio.open_connection(*self._target)
+            target_reader, target_writer = await asyncio.open_connection(*self._target)
         except OSError:
             writer.transport.abort()
             return
-        self._writers.update((writer, far_writer))
+        self._writers.update((writer, target_writer))
         try:
             await asyncio.gather(
-                self._copy(reader, far_writer, forth=True),
-                self._copy(far_reader, writer, forth=False),
+                self._copy(reader, target_writer, to_target=True),
+                self._copy(target_reader, writer, to_target=False),
             )
         finally:
-            self._writers.difference_update((writer, far_writer))
+            self._writers.difference_update((writer, target_writer))
             writer.transport.abort()
-            far_writer.transport.abort()
+            target_writer.transport.abort()
 
     async def _copy(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, *, forth: bool
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, *, to_target: bool
     ) -> None:
         with contextlib.suppress(ConnectionError):
             while data := await reader.read(CHUNK_BYTES):
                 if self.link is Link.DELAYED:
                     await asyncio.sleep(DELAY_SECONDS)
-                # Held bytes are lost with the connection, as behind a partition.
-                while self.link is Link.SILENT or (self.link is Link.ONE_WAY and not forth):
+                # Bytes that are held back are lost if the connection is reset, as in a partition.
+                while self.link is Link.SILENT or (self.link is Link.ONE_WAY and not to_target):
                     await asyncio.sleep(0.05)
                 writer.write(data)
                 await writer.drain()
--- a/standin/loopback_ports.py
+++ b/standin/loopback_ports.py
@@ -1,4 +1,4 @@
-"""Ports on loopback for nodes that are told theirs before they listen."""
+"""Allocates loopback ports for nodes whose ports are configured before they start."""
 
 from __future__ import annotations
 
@@ -10,22 +10,23 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-# Nodes are asked back at the address that their connections come from, which is this one.
+# Peers connect back to the source address of a node's connections, which is this one.
 HOST = "127.0.0.1"
-# Below those that the system gives to outgoing connections.
+# Below the range that the operating system assigns to outgoing connections.
 FIRST_PORT = 10_000
 LAST_PORT = 30_000
 PORTS_PER_BLOCK = 200
 
-# Bound, and held until this process ends: what follows each belongs to this process alone.
+# Bound sockets, held until this process exits: each reserves the block of ports that follows
+# its own for this process.
 _guards: list[socket.socket] = []
 
 
 def free_address() -> str:
-    """Return an address on loopback that nothing listens on, never the same twice.
+    """Return a loopback address that nothing listens on; never the same one twice.
 
-    Processes side by side take whole blocks of ports: one whose node is down for a moment looks
-    free, and is given to no other process.
+    Each process reserves whole blocks of ports. The port of a node that is down for a short time
+    looks free, and must not be allocated by another process.
 
     Raises
     ------
@@ -34,22 +35,22 @@
     """
     for port in _ports:
         with socket.socket() as probe:
-            if _is_bound(probe, port):
+            if _try_bind(probe, port):
                 return format_address((HOST, port))
     raise OSError("no free port on loopback")
 
 
-def _own_ports() -> Iterator[int]:
+def _reserve_ports() -> Iterator[int]:
     for first in range(FIRST_PORT, LAST_PORT, PORTS_PER_BLOCK):
         guard = socket.socket()
-        if _is_bound(guard, first):
+        if _try_bind(guard, first):
             _guards.append(guard)
             yield from range(first + 1, first + PORTS_PER_BLOCK)
         else:
             guard.close()
 
 
-def _is_bound(probe: socket.socket, port: int) -> bool:
+def _try_bind(probe: socket.socket, port: int) -> bool:
     try:
         probe.bind((HOST, port))
     except OSError:
@@ -57,4 +58,4 @@
     return True
 
 
-_ports = _own_ports()
+_ports = _reserve_ports()
--- a/standin/mesh_backend.py
+++ b/standin/mesh_backend.py
@@ -1,4 +1,4 @@
-"""A stand-in for a backend server of the platform, with the faults of its pages."""
+"""A stand-in for a backend server of the platform, with the faults that its specification names."""
 
 from __future__ import annotations
 
@@ -21,7 +21,12 @@
 
 
 class Fault(Enum):
-    """What the next answers look like."""
+    """Fault in the responses from now on.
+
+    ``SHED`` responds with status 503 and the header that proves that the request was not executed,
+    ``PROMISE_WITHOUT_PROOF`` with the same status but without the header. ``FOREIGN_FIRST`` sends
+    the response to another request before the proper one.
+    """
 
     NONE = "none"
     ERROR = "error"
@@ -39,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request as the backend server saw it."""
+    """A request as the backend server received it."""
 
     request_id: str
     target: bytes
@@ -48,16 +53,16 @@
 
 
 class MeshBackendStandin:
-    """Runs requests in slots; remembers what arrived, ran, and was cancelled.
+    """Executes requests; records which arrived, were executed, and were cancelled.
 
     Parameters
     ----------
     service : str
-        Its service.
+        Service that it belongs to.
     instance : str
-        Its incarnation.
+        Incarnation id that it reports.
     slots : int
-        What it runs at once.
+        Number of slots that it reports; it does not limit concurrency itself.
     """
 
     def __init__(self, service: str, instance: str, *, slots: int = 4) -> None:
@@ -65,9 +70,9 @@
         self.instance = instance
         self.slots = slots
         self.work_seconds = 0.0
-        # What runs ends only while this is set.
-        self.go_on = asyncio.Event()
-        self.go_on.set()
+        # Requests finish only while this is set.
+        self.may_finish = asyncio.Event()
+        self.may_finish.set()
         self.slowdown = 100
         self.healthy = True
         self.cold_seconds = 0.0
@@ -79,7 +84,7 @@
         self.cancelled: list[str] = []
         self.health_reads = 0
         self.running = 0
-        self.most_running = 0
+        self.max_running = 0
         self.arrived = asyncio.Event()
         self.crash_seconds = 0.03
         self.crashed = asyncio.Event()
@@ -93,25 +98,25 @@
 
     @property
     def address(self) -> Address:
-        """Return where it listens."""
+        """Return the address that it listens on."""
         return self._address
 
     async def start(self) -> None:
-        """Open the socket."""
+        """Start listening."""
         await self._server.start()
         self._address = self._server.address
 
     def close(self) -> None:
-        """End as by a crash."""
+        """Stop listening and reset all connections."""
         self._server.abort()
         self._pool.close()
 
     def crash_on(self, target: bytes) -> None:
-        """End `crash_seconds` after a request for some target begins to run."""
+        """Crash `crash_seconds` after the execution of a request for the target begins."""
         self._crashing = target
 
     def crash(self) -> None:
-        """End with all that runs; `start_as` brings it back."""
+        """Crash, along with all running requests; `start_as` starts the server again."""
         if self.crashed.is_set():
             return
         self.crashes.append(list(self._running_ids))
@@ -119,17 +124,17 @@
         self._server.abort()
 
     async def start_as(self, instance: str) -> None:
-        """Start at the same address as another incarnation, knowing nothing of before."""
+        """Start again at the same address as another incarnation, with its sequence reset."""
         self.instance = instance
         self._sequence = 0
         self.crashed.clear()
         self._server = CallServer(self._address, self._serve)
         await self._server.start()
 
-    async def beat(
+    async def send_heartbeat(
         self, node: Address, *, state: str = "ready", sequence: int | None = None
     ) -> int:
-        """Send a heartbeat; return the status of the answer."""
+        """Send a heartbeat to a node; return the status of the response."""
         self._sequence += 1
         number = self._sequence if sequence is None else sequence
         body = (
@@ -146,21 +151,21 @@
                 b"" if self.born is None else b',"born":%d' % self.born,
             )
         )
-        return await self._tell(node, "Heartbeat", body)
+        return await self._call_node(node, "Heartbeat", body)
 
-    async def leave(self, node: Address) -> int:
-        """Say farewell; return the status of the answer."""
+    async def deregister(self, node: Address) -> int:
+        """Deregister at a node; return the status of the response."""
         body = b"" if self.born is None else b'{"born":%d}' % self.born
-        return await self._tell(node, "Deregister", body)
+        return await self._call_node(node, "Deregister", body)
 
-    def start_again(self, born: int) -> None:
-        """Start anew under the same id, knowing nothing of before."""
+    def restart(self, born: int) -> None:
+        """Become a new incarnation under the same id, with its sequence reset."""
         self.born = born
         self._sequence = 0
 
-    async def _tell(self, node: Address, call: str, body: bytes) -> int:
+    async def _call_node(self, node: Address, call: str, body: bytes) -> int:
         connection = await self._pool.acquire(node, 1.0)
-        answered = await exchange_buffered(
+        response = await exchange_buffered(
             connection,
             b"POST",
             f"/-/Instances.{call}/{self.instance}".encode(),
@@ -168,18 +173,18 @@
             body,
             timeout=1.0,
         )
-        assert isinstance(answered, tuple)
+        assert isinstance(response, tuple)
         self._pool.keep(node, connection)
-        return answered[0].status
+        return response[0].status
 
     async def _serve(self, exchange: ServerExchange) -> None:
         headers = dict(exchange.head.headers)
         if exchange.head.target == b"/healthz":
             self.health_reads += 1
-            told = self._told()
+            health_headers = self._load_headers()
             if self.healthy and self.cold_seconds > 0:
-                told.append((b"x-cold-ms", b"%d" % round(self.cold_seconds * 1000.0)))
-            exchange.respond(200 if self.healthy else 503, told)
+                health_headers.append((b"x-cold-ms", b"%d" % round(self.cold_seconds * 1000.0)))
+            exchange.respond(200 if self.healthy else 503, health_headers)
             return
         body = await exchange.body.read_all()
         request_id = headers[b"x-request-id"].decode()
@@ -188,16 +193,16 @@
         self.arrived.set()
         expected = headers.get(b"x-expect-instance")
         if expected is not None and expected.decode() != self.instance:
-            exchange.respond(421, self._told())
+            exchange.respond(421, self._load_headers())
         elif self.fault is Fault.SHED:
-            exchange.respond(503, [*self._told(), (b"x-not-executed", b"1")])
+            exchange.respond(503, [*self._load_headers(), (b"x-not-executed", b"1")])
         else:
             await self._run(exchange, request_id)
 
     async def _run(self, exchange: ServerExchange, request_id: str) -> None:
         self.runs.append(request_id)
         self.running += 1
-        self.most_running = max(self.most_running, self.running)
+        self.max_running = max(self.max_running, self.running)
         self._running_ids.append(request_id)
         if self._crashing is not None and exchange.head.target == self._crashing:
             asyncio.get_running_loop().call_later(self.crash_seconds, self.crash)
@@ -205,7 +210,7 @@
             if self._crashing is not None and exchange.head.target == self._crashing:
                 await self.crashed.wait()
             await asyncio.sleep(self.work_seconds)
-            await self.go_on.wait()
+            await self.may_finish.wait()
             if self.fault is Fault.HANG:
                 await asyncio.Event().wait()
         except asyncio.CancelledError:
@@ -218,11 +223,11 @@
 
     def _answer(self, exchange: ServerExchange, request_id: str) -> None:
         echo = (b"x-request-id", request_id.encode())
-        signed: list[Header] = [echo, (b"x-response-signature", SIGNATURE), *self._told()]
+        signed: list[Header] = [echo, (b"x-response-signature", SIGNATURE), *self._load_headers()]
         body = b"body of " + request_id.encode()
         match self.fault:
             case Fault.ERROR:
-                exchange.respond(500, [echo, *self._told()])
+                exchange.respond(500, [echo, *self._load_headers()])
             case Fault.RESET:
                 exchange.abort()
             case Fault.NO_SIGNATURE:
@@ -249,6 +254,6 @@
             case _:
                 exchange.respond(200, signed, body)
 
-    def _told(self) -> list[Header]:
+    def _load_headers(self) -> list[Header]:
         load = b"%d,0,%d,%d" % (self.running, self.slots, self.slowdown)
         return [(b"x-server-load", load), (b"x-instance-id", self.instance.encode())]
--- a/standin/mesh_cluster.py
+++ b/standin/mesh_cluster.py
@@ -1,4 +1,4 @@
-"""The platform path as separate processes: nodes as programs, the rest stand-ins here."""
+"""Runs platform nodes as processes; store and backend servers are stand-ins in this process."""
 
 from __future__ import annotations
 
@@ -38,13 +38,21 @@
 
 
 @dataclass(slots=True)
-class MeshPlace:
-    """One instance: a node's process and the backend server beside it.
+class MeshInstance:
+    """One instance: a node in a process of its own, and its backend server.
 
     Attributes
     ----------
+    callers, peers, readiness, announcements, metrics : str
+        Addresses that the node listens on.
     store : str
-        Where the node believes the store; a proxy may stand in between.
+        Address of the store in the node's settings; may be that of a proxy.
+    first_start : bool
+        Whether the node has not been started yet.
+    state : str
+        State that the backend server reports in its heartbeats.
+    is_starting : bool
+        Whether the node's process is being created.
     """
 
     name: str
@@ -64,128 +72,135 @@
 
 
 class MeshCluster:
-    """A deployment on loopback.
+    """A deployment of platform nodes on loopback.
 
     Parameters
     ----------
     deployment : Deployment
         Data centres and services.
     grace_seconds : float
-        What nodes are told of the time between the two signals.
+        Time between SIGTERM and SIGKILL, also in the nodes' settings.
     """
 
     def __init__(self, deployment: Deployment, *, grace_seconds: float = 6.0) -> None:
         self.deployment = deployment
         self.grace_seconds = grace_seconds
         self.store = StoreStandin()
-        self.places: list[MeshPlace] = []
+        self.instances: list[MeshInstance] = []
         self.folder = Path(tempfile.mkdtemp(prefix="hoisthook-mesh-"))
         self.pool = ClientPool()
-        self._beating: list[asyncio.Task[None]] = []
+        self._heartbeat_tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Start everything and wait until all nodes are ready."""
+        """Start the store, backend servers and nodes, and wait until all nodes are ready."""
         await self.store.start()
         await self._plan()
         self.publish(1)
-        await asyncio.gather(*(self.start_node(place) for place in self.places))
+        await asyncio.gather(*(self.start_node(instance) for instance in self.instances))
         loop = asyncio.get_running_loop()
-        self._beating = [loop.create_task(self._beat_forever(place)) for place in self.places]
+        self._heartbeat_tasks = [
+            loop.create_task(self._send_heartbeats(instance)) for instance in self.instances
+        ]
         async with asyncio.timeout(READY_SECONDS):
-            for place in self.places:
-                await self.until_ready(place)
+            for instance in self.instances:
+                await self.wait_until_ready(instance)
 
     async def close(self) -> None:
-        """Stop what runs; every process by its id."""
-        for task in self._beating:
+        """Kill all nodes and close the stand-ins."""
+        for task in self._heartbeat_tasks:
             task.cancel()
-        for place in self.places:
-            await self.kill(place)
-            place.backend.close()
+        for instance in self.instances:
+            await self.kill(instance)
+            instance.backend.close()
         self.pool.close()
         self.store.close()
 
     def routes(self) -> list[RouteOptions]:
         """Return one repeatable and one non-repeatable route for each service."""
-        found = []
+        options = []
         for service in self.deployment.count_by_service:
-            found.append(RouteOptions(service, host=f"{service}.example", prefix="/read/"))
-            found.append(
+            options.append(RouteOptions(service, host=f"{service}.example", prefix="/read/"))
+            options.append(
                 RouteOptions(service, host=f"{service}.example", prefix="/write/", safe=False)
             )
-        return found
+        return options
 
     def publish(self, version: int, extra: list[RouteOptions] | None = None) -> None:
-        """Publish a configuration."""
+        """Publish a configuration with the routes of all services and some extra ones."""
         record = configuration(version, *self.routes(), *(extra or []))
         self.store.put(TOPIC, KEY, record)
 
-    async def start_node(self, place: MeshPlace) -> None:
-        """Start the node of a place, unless it runs: faults that overlap may both ask for it."""
-        if (place.process is not None and place.process.returncode is None) or place.is_starting:
+    async def start_node(self, instance: MeshInstance) -> None:
+        """Start the node of an instance, unless it runs or is being started.
+
+        Overlapping faults may both try to start the same node.
+        """
+        if (
+            instance.process is not None and instance.process.returncode is None
+        ) or instance.is_starting:
             return
-        place.is_starting = True
-        path = self.folder / f"{place.name}.toml"
-        path.write_text(self._settings(place))
+        instance.is_starting = True
+        path = self.folder / f"{instance.name}.toml"
+        path.write_text(self._settings(instance))
         try:
-            with (self.folder / f"{place.name}.log").open("ab") as lines:
-                place.process = await asyncio.create_subprocess_exec(
+            with (self.folder / f"{instance.name}.log").open("ab") as lines:
+                instance.process = await asyncio.create_subprocess_exec(
                     *[sys.executable, str(PROGRAM)],
                     stdout=lines,
                     stderr=lines,
                     env={**os.environ, "HOISTHOOK_BOOT": str(path)},
                 )
         finally:
-            place.is_starting = False
-        place.first_start = False
-
-    def describe(self, place: MeshPlace) -> str:
-        """Return a place's name and what its process is doing."""
-        if place.is_starting:
-            return f"{place.name} (being started)"
-        if place.process is None:
-            return f"{place.name} (never started)"
-        if place.process.returncode is None:
-            return f"{place.name} (process {place.process.pid} runs)"
-        return f"{place.name} (process ended with {place.process.returncode})"
-
-    async def kill(self, place: MeshPlace) -> None:
-        """Kill the node of a place."""
-        if place.process is not None and place.process.returncode is None:
+            instance.is_starting = False
+        instance.first_start = False
+
+    def describe(self, instance: MeshInstance) -> str:
+        """Return an instance's name and the state of its process."""
+        if instance.is_starting:
+            return f"{instance.name} (being started)"
+        if instance.process is None:
+            return f"{instance.name} (never started)"
+        if instance.process.returncode is None:
+            return f"{instance.name} (process {instance.process.pid} runs)"
+        return f"{instance.name} (process exited with {instance.process.returncode})"
+
+    async def kill(self, instance: MeshInstance) -> None:
+        """Kill the node of an instance and await its exit."""
+        if instance.process is not None and instance.process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
-                place.process.send_signal(signal.SIGCONT)
-                place.process.kill()
-            await place.process.wait()
-
-    async def stop(self, place: MeshPlace) -> int:
-        """Stop the node of a place as the platform does; return its exit status."""
-        assert place.process is not None
-        place.process.terminate()
+                instance.process.send_signal(signal.SIGCONT)
+                instance.process.kill()
+            await instance.process.wait()
+
+    async def stop(self, instance: MeshInstance) -> int:
+        """Stop a node as the platform does: SIGTERM, then SIGKILL; return its exit status."""
+        assert instance.process is not None
+        instance.process.terminate()
         try:
             async with asyncio.timeout(self.grace_seconds):
-                return await place.process.wait()
+                return await instance.process.wait()
         except TimeoutError:
-            await self.kill(place)
+            await self.kill(instance)
             return -signal.SIGKILL
 
-    async def until_ready(self, place: MeshPlace) -> None:
-        """Wait until a node says that it is ready."""
-        while await self.get(parse_address(place.readiness), b"/-/readyz") != 200:
+    async def wait_until_ready(self, instance: MeshInstance) -> None:
+        """Wait until a node's readiness check succeeds."""
+        while await self.get(parse_address(instance.readiness), b"/-/readyz") != 200:
             await asyncio.sleep(POLL_SECONDS)
 
     async def get(self, address: Address, path: bytes) -> int:
-        """Return the status of a plain request; 0 if there is no answer."""
+        """Send a GET request; return the status of the response, or 0 if there is none."""
         try:
             connection = await self.pool.acquire(address, 0.5)
         except UnreachableError:
             return 0
-        answered = await exchange_buffered(
+        response = await exchange_buffered(
             connection, b"GET", path, [(b"host", b"node")], b"", timeout=2.0
         )
-        if isinstance(answered, Lost):
+        if isinstance(response, Lost):
             return 0
         self.pool.keep(address, connection)
-        return answered[0].status
+        return response[0].status
 
     async def _plan(self) -> None:
         number = 0
@@ -194,11 +209,13 @@
                 number += 1
                 backend = MeshBackendStandin(service, f"i-{number}", slots=self.deployment.slots)
                 await backend.start()
-                self.places.append(self._place(number, service, backend))
+                self.instances.append(self._make_instance(number, service, backend))
 
-    def _place(self, number: int, service: str, backend: MeshBackendStandin) -> MeshPlace:
+    def _make_instance(
+        self, number: int, service: str, backend: MeshBackendStandin
+    ) -> MeshInstance:
         centres = self.deployment.data_centres
-        return MeshPlace(
+        return MeshInstance(
             name=f"node-{number}",
             service=service,
             data_centre=centres[number % len(centres)],
@@ -211,34 +228,34 @@
             store=format_address(self.store.address),
         )
 
-    async def _beat_forever(self, place: MeshPlace) -> None:
-        address = parse_address(place.announcements)
+    async def _send_heartbeats(self, instance: MeshInstance) -> None:
+        address = parse_address(instance.announcements)
         while True:
-            # A node that is down or frozen misses heartbeats, as on the platform.
-            if place.backend.crashed.is_set():
+            # As on the platform, a heartbeat to a node that is down or frozen is lost.
+            if instance.backend.crashed.is_set():
                 await asyncio.sleep(HEARTBEAT_SECONDS)
                 continue
             with contextlib.suppress(UnreachableError, AssertionError):
-                await place.backend.beat(address, state=place.state)
+                await instance.backend.send_heartbeat(address, state=instance.state)
             await asyncio.sleep(HEARTBEAT_SECONDS)
 
-    def _settings(self, place: MeshPlace) -> str:
+    def _settings(self, instance: MeshInstance) -> str:
         return f"""
 [node]
-id = "{place.name}"
-data_centre = "{place.data_centre}"
-service = "{place.service}"
-first_start = {str(place.first_start).lower()}
+id = "{instance.name}"
+data_centre = "{instance.data_centre}"
+service = "{instance.service}"
+first_start = {str(instance.first_start).lower()}
 [listen]
-callers = "{place.callers}"
-peers = "{place.peers}"
-readiness = "{place.readiness}"
-announcements = "{place.announcements}"
-metrics = "{place.metrics}"
+callers = "{instance.callers}"
+peers = "{instance.peers}"
+readiness = "{instance.readiness}"
+announcements = "{instance.announcements}"
+metrics = "{instance.metrics}"
 [backend_server]
-address = "{format_address(place.backend.address)}"
+address = "{format_address(instance.backend.address)}"
 [store]
-address = "{place.store}"
+address = "{instance.store}"
 configuration_topic = "{TOPIC}"
 configuration_key = "{KEY}"
 nodes_topic = "{NODES_TOPIC}"
--- a/standin/mesh_run.py
+++ b/standin/mesh_run.py
@@ -1,4 +1,4 @@
-"""Runs the platform path with 13 nodes until interrupted.
+"""Runs a deployment of 13 platform nodes until interrupted.
 
 Usage: python -m standin.mesh_run [--seva]
 """
@@ -16,22 +16,22 @@
 
 
 async def run(cluster: MeshCluster) -> int:
-    """Start, print each address and last ``ready``, serve until interrupted, stop."""
+    """Start the cluster, print its addresses and ``ready``, and stop it when interrupted."""
     interrupted = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGINT, signal.SIGTERM):
         loop.add_signal_handler(number, interrupted.set)
     try:
         await cluster.start()
-        for place in cluster.places:
+        for instance in cluster.instances:
             sys.stdout.write(
-                f"{place.name} ({place.data_centre}, {place.service}) callers {place.callers}"
-                f" metrics {place.metrics}\n"
+                f"{instance.name} ({instance.data_centre}, {instance.service})"
+                f" callers {instance.callers} metrics {instance.metrics}\n"
             )
         sys.stdout.write(f"logs {cluster.folder}\nready\n")
         sys.stdout.flush()
         await interrupted.wait()
-        statuses = await asyncio.gather(*(cluster.stop(place) for place in cluster.places))
+        statuses = await asyncio.gather(*(cluster.stop(instance) for instance in cluster.instances))
     finally:
         await cluster.close()
     sys.stdout.write(f"stopped, exit statuses of the nodes: {sorted(set(statuses))}\n")
@@ -39,9 +39,11 @@
 
 
 def main() -> None:
-    """Run the deployment that the arguments name."""
+    """Run the deployment that the arguments select."""
     parser = argparse.ArgumentParser()
-    parser.add_argument("--seva", action="store_true", help="Paschimbanga Seva's, not Teranga's")
+    parser.add_argument(
+        "--seva", action="store_true", help="deployment of Paschimbanga Seva instead of Teranga"
+    )
     arguments = parser.parse_args()
     sys.exit(asyncio.run(run(MeshCluster(SEVA if arguments.seva else TERANGA))))
 
--- a/standin/mesh_store.py
+++ b/standin/mesh_store.py
@@ -1,6 +1,6 @@
 """A stand-in for the platform's store: keyed topics, long polls and outages.
 
-Written from the platform's published pages; only what the product uses is here.
+Follows the platform's published specification; only the calls that hoisthook uses are there.
 """
 
 from __future__ import annotations
@@ -29,7 +29,11 @@
 
 
 class Outage(Enum):
-    """How the store turns callers away."""
+    """How the store fails calls.
+
+    ``BUSY`` responds with status 503, ``RESET`` closes the connection, ``SILENT`` never responds,
+    and ``ANSWER_LOST`` applies appends but never responds.
+    """
 
     NONE = "none"
     BUSY = "busy"
@@ -39,7 +43,7 @@
 
 
 class Topic:
-    """One partition's records."""
+    """The records of a topic, which has one partition."""
 
     def __init__(self) -> None:
         self.records: list[bytes] = []
@@ -72,43 +76,44 @@
 
 
 class StoreStandin:
-    """Serves the log's calls.
+    """Serves the store's append, read and newest calls.
 
     Attributes
     ----------
     outage : Outage
-        How calls are turned away, for all callers or for those in ``only``.
-    only : set of str
-        Hosts that the outage is for; empty for all.
+        How calls fail, for all hosts or for those in ``affected_hosts``.
+    affected_hosts : set of str
+        Hosts that the outage affects; empty for all.
     calls : list of str
-        Names of the calls taken, in order.
+        Names of the calls received, in order.
     era : int or None
-        Told in all answers; None to tell nothing.
+        Sent with all responses; None to send none.
     on_append : callable or None
-        Given topic and content of each record that a node appends; returns what is kept.
+        Receives topic and content of each record that a node appends; returns the content that
+        is stored.
     """
 
     def __init__(self, address: Address = ("127.0.0.1", 0)) -> None:
         self.topic_by_name: dict[str, Topic] = {}
         self.outage = Outage.NONE
-        self.only: set[str] = set()
+        self.affected_hosts: set[str] = set()
         self.calls: list[str] = []
         self.era: int | None = None
-        self._copy: dict[str, list[bytes]] = {}
+        self._copied_by_topic: dict[str, list[bytes]] = {}
         self.on_append: Callable[[str, bytes], bytes] | None = None
         self._server = CallServer(address, self._serve)
 
     @property
     def address(self) -> Address:
-        """Return where it listens."""
+        """Return the address that the store listens on."""
         return self._server.address
 
     async def start(self) -> None:
-        """Open the socket."""
+        """Start listening."""
         await self._server.start()
 
     def close(self) -> None:
-        """Drop everything."""
+        """Stop listening and reset all connections."""
         self._server.abort()
 
     def put(self, topic: str, key: str, value: bytes) -> None:
@@ -116,19 +121,21 @@
         self.topic(topic).append([join_record(key, value)])
 
     def forget(self, topic: str) -> None:
-        """Drop all but the newest record of each key."""
+        """Expire all records: reads from their offsets fail, the newest of each key remain."""
         kept = self.topic(topic)
         kept.first = kept.end
 
     def copy(self) -> None:
-        """Keep a copy of what is there now."""
-        self._copy = {name: list(topic.records) for name, topic in self.topic_by_name.items()}
+        """Copy the records of all topics, for `regress`."""
+        self._copied_by_topic = {
+            name: list(topic.records) for name, topic in self.topic_by_name.items()
+        }
 
     def regress(self) -> None:
-        """Go on from the copy, with offsets given out again."""
+        """Regress to the copy in a new era; offsets after the copy are assigned again."""
         self.era = (self.era or 0) + 1
         for name, topic in self.topic_by_name.items():
-            topic.records = self._copy.get(name, [])[:]
+            topic.records = self._copied_by_topic.get(name, [])[:]
             topic.first = min(topic.first, topic.end)
             topic.append([])
 
@@ -141,10 +148,12 @@
         name = path.rpartition("/")[2]
         self.calls.append(name)
         body = await exchange.body.read_all()
-        if self.outage is not Outage.NONE and (not self.only or exchange.peer[0] in self.only):
+        if self.outage is not Outage.NONE and (
+            not self.affected_hosts or exchange.peer[0] in self.affected_hosts
+        ):
             if self.outage is Outage.ANSWER_LOST and name == "log-append":
                 self._append(parse_qs(query), body)
-            await self._turn_away(exchange)
+            await self._reject(exchange)
             return
         fields = parse_qs(query)
         if name == "log-append":
@@ -157,7 +166,7 @@
         else:
             exchange.respond(404, [])
 
-    async def _turn_away(self, exchange: ServerExchange) -> None:
+    async def _reject(self, exchange: ServerExchange) -> None:
         if self.outage is Outage.BUSY:
             exchange.respond(503, [])
         elif self.outage is Outage.RESET:
@@ -193,7 +202,7 @@
         topic = self.topic(fields["topic"][0])
         start = int(fields["from"][0])
         if not topic.first <= start <= topic.end:
-            exchange.respond(410, self._said(), msgspec.json.encode({"first": topic.first}))
+            exchange.respond(410, self._era_headers(), msgspec.json.encode({"first": topic.first}))
             return
         if topic.end <= start:
             try:
@@ -204,13 +213,13 @@
         body = READ_HEAD.pack(topic.end, topic.first)
         for content in topic.records[start:]:
             body += LENGTH.pack(len(content)) + content
-        exchange.respond(200, self._said(), body)
+        exchange.respond(200, self._era_headers(), body)
 
     def _answer(self, exchange: ServerExchange, fields: dict[str, object]) -> None:
-        headers = [*self._said(), (b"content-type", b"application/json")]
+        headers = [*self._era_headers(), (b"content-type", b"application/json")]
         exchange.respond(200, headers, msgspec.json.encode(fields))
 
-    def _said(self) -> list[Header]:
+    def _era_headers(self) -> list[Header]:
         return [] if self.era is None else [(b"store-era", b"%d" % self.era)]
 
 
--- a/standin/mesh_system.py
+++ b/standin/mesh_system.py
@@ -1,4 +1,4 @@
-"""Nodes of the platform path with stand-ins for the rest, in one process on loopback."""
+"""Runs platform nodes, with stand-ins for store and backend servers, in one process."""
 
 from __future__ import annotations
 
@@ -45,44 +45,44 @@
 
 NODES_TOPIC = "keyed.nodes"
 EVACUATION_PREFIX = "evacuate/"
-# So many that a node has saved up some reruns within milliseconds of its start.
+# Large enough that a node has budget for reruns within milliseconds of its start.
 RETRY_EXTRA = 1_000_000.0
 ANY_PORT = f"{HOST}:0"
 
 
 class ListLog:
-    """An event log in memory."""
+    """An event log that keeps its lines in memory."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[str, dict[str, object]]] = []
 
     def event(self, name: str, **fields: object) -> None:
-        """Keep an event."""
+        """Record an event."""
         self.lines.append((name, fields))
 
     def decision(self, name: str, **fields: object) -> None:
-        """Keep a decision."""
+        """Record a decision."""
         self.lines.append((name, fields))
 
     def named(self, name: str) -> list[dict[str, object]]:
-        """Return the fields of all lines of one name."""
+        """Return the fields of all lines with a name."""
         return [fields for line, fields in self.lines if line == name]
 
 
 class Machine:
-    """One node and the backend server beside it."""
+    """One node and its backend server."""
 
     def __init__(self, node: MeshNode, endpoints: LocalEndpoints, backend: MeshBackendStandin):
         self.node = node
         self.endpoints = endpoints
         self.backend = backend
 
-    async def beat(self, state: str = "ready") -> int:
+    async def send_heartbeat(self, state: str = "ready") -> int:
         """Have the backend server send a heartbeat."""
-        return await self.backend.beat(self.endpoints.announcements_address, state=state)
+        return await self.backend.send_heartbeat(self.endpoints.announcements_address, state=state)
 
     def crash(self) -> None:
-        """End the node as by a kill."""
+        """Stop the node abruptly, as SIGKILL would."""
         self.node.abort()
         self.endpoints.close()
 
@@ -93,9 +93,9 @@
     Attributes
     ----------
     log : ListLog
-        Shared by all nodes.
-    readers_per_data_centre, first_start, cold, keys, teams
-        What nodes that are added are told.
+        Event log that all nodes share.
+    readers_per_data_centre, first_start, cold, keys, teams, retry
+        Settings of the nodes that are added afterwards.
     """
 
     def __init__(self) -> None:
@@ -114,11 +114,11 @@
         self._added = 0
 
     async def start(self) -> None:
-        """Open the store."""
+        """Start the store."""
         await self.store.start()
 
     async def close(self) -> None:
-        """End everything at once."""
+        """Stop all nodes, backend servers and the store abruptly."""
         for machine in self.machines:
             machine.crash()
             machine.backend.close()
@@ -130,15 +130,15 @@
     def publish(
         self, version: int, *routes: RouteOptions, teams: Iterable[TeamOptions] = ()
     ) -> None:
-        """Publish a configuration as an operator."""
+        """Publish a configuration as an operator does."""
         self.store.put(TOPIC, KEY, configuration(version, *routes, teams=teams))
 
     def evacuate(self, data_centre: str) -> None:
-        """Ask as an operator that nothing more be sent to a data centre."""
+        """Evacuate a data centre as an operator does: no more requests are sent to it."""
         self.store.put(TOPIC, f"{EVACUATION_PREFIX}{data_centre}", b"{}")
 
     def restore(self, data_centre: str) -> None:
-        """Take a data centre back."""
+        """End the evacuation of a data centre."""
         self.store.put(TOPIC, f"{EVACUATION_PREFIX}{data_centre}", b"")
 
     async def add(
@@ -150,7 +150,7 @@
         announced: bool = True,
         backend: MeshBackendStandin | None = None,
     ) -> Machine:
-        """Start a node and, unless one is given, a backend server beside it."""
+        """Start a node and, unless one is given, its backend server."""
         self._added += 1
         number = self._added
         if backend is None:
@@ -161,23 +161,23 @@
         await machine.node.start()
         self.machines.append(machine)
         if announced:
-            assert await machine.beat() == 200
+            assert await machine.send_heartbeat() == 200
         return machine
 
-    async def start_again(self, gone: Machine) -> Machine:
-        """Start a node, knowing nothing of before, at the address of one that is gone."""
-        me = gone.node.directory.me
-        again = self._make(me.node, me.service, me.data_centre, gone.backend, self.log)
-        again.node._peers._address = gone.node._peers._address
-        again.node.directory.me = me
-        await again.endpoints.start()
-        await again.node.start()
-        self.machines = [machine for machine in self.machines if machine is not gone]
-        self.machines.append(again)
-        return again
-
-    def introduce_all(self) -> None:
-        """Let every node know every other, as the store would in time."""
+    async def restart(self, stopped: Machine) -> Machine:
+        """Start a new node in place of a stopped one, with its identity and address only."""
+        me = stopped.node.directory.me
+        restarted = self._make(me.node, me.service, me.data_centre, stopped.backend, self.log)
+        restarted.node._peers._address = stopped.node._peers._address
+        restarted.node.directory.me = me
+        await restarted.endpoints.start()
+        await restarted.node.start()
+        self.machines = [machine for machine in self.machines if machine is not stopped]
+        self.machines.append(restarted)
+        return restarted
+
+    def merge_all_peers(self) -> None:
+        """Add all nodes to every node's peer directory, without waiting for the store."""
         peers = [machine.node.directory.me for machine in self.machines]
         for machine in self.machines:
             machine.node.directory.merge(peers, "test")
@@ -185,7 +185,7 @@
             machine.node.repeats.refresh()
 
     async def until_configured(self, version: int) -> None:
-        """Wait until all nodes have a configuration."""
+        """Wait until all nodes have applied a configuration version or a newer one."""
         while any(m.node.configuration.version < version for m in self.machines):
             await asyncio.sleep(0.005)
 
@@ -203,7 +203,13 @@
         key: str | None = None,
         more: Iterable[Header] = (),
     ) -> tuple[int, dict[bytes, bytes], bytes]:
-        """Send a request as a caller beside a node; return status, headers and body."""
+        """Send a request to a node as a caller; return status, headers and body.
+
+        Raises
+        ------
+        ConnectionError
+            If the connection is lost before the response is complete.
+        """
         self._requests += 1
         name = request_id or f"q{self._requests}"
         headers = [
@@ -216,13 +222,13 @@
         headers.extend(more)
         address = machine.node.callers_address
         connection = await self._pool.acquire(address, 1.0)
-        answered = await exchange_buffered(
+        response = await exchange_buffered(
             connection, method, path.encode(), headers, body, timeout=timeout
         )
-        if isinstance(answered, Lost):
-            raise ConnectionError(answered.code.name)
+        if isinstance(response, Lost):
+            raise ConnectionError(response.code.name)
         self._pool.keep(address, connection)
-        head, data = answered
+        head, data = response
         return head.status, dict(head.headers), data
 
     def _make(
--- a/standin/platform_log.py
+++ b/standin/platform_log.py
@@ -3,9 +3,9 @@
 Usage: python -m standin.platform_log --port PORT
 
 ``POST /streams/NAME/records`` appends; ``GET`` of the same with ``offset``,
-``limit`` and ``wait_ms`` reads. ``POST /faults`` sets faults: ``outage`` (refuse
-all), ``delay_ms``, ``lose_answers`` (that many appends take effect unanswered),
-``keep`` (records kept in each stream).
+``limit`` and ``wait_ms`` reads. ``POST /faults`` sets faults: ``outage`` (status
+503 for all calls), ``delay_ms``, ``lose_answers`` (number of appends that take
+effect without a response), ``keep`` (records retained in each stream).
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class Faults(msgspec.Struct):
-    """What goes wrong at present."""
+    """Faults that are injected at present."""
 
     outage: bool = False
     delay_ms: int = 0
@@ -49,7 +49,7 @@
         return self.earliest + len(self.records)
 
     def expire(self, keep: int) -> None:
-        """Drop all but the newest records."""
+        """Drop the oldest records, so that at most ``keep`` remain."""
         surplus = len(self.records) - keep
         if surplus > 0:
             del self.records[:surplus]
@@ -57,7 +57,7 @@
 
 
 class PlatformLogStandin:
-    """The service's state and handlers."""
+    """State and request handlers of the log service."""
 
     def __init__(self) -> None:
         self.faults = Faults()
@@ -77,7 +77,7 @@
         )
 
     async def append(self, request: Request) -> Response:
-        """Append a record, unless a fault says otherwise."""
+        """Append a record, subject to the current faults."""
         body = await request.body()
         if self.faults.outage:
             return JSONResponse({"error": "outage"}, status_code=503)
@@ -91,11 +91,11 @@
             stream.grown.notify_all()
         if self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
-            raise ConnectionAbortedError("answer lost on purpose")
+            raise ConnectionAbortedError("response lost by the injected fault")
         return JSONResponse({"offset": offset})
 
     async def read(self, request: Request) -> Response:
-        """Return records from an offset on."""
+        """Return records from an offset on; wait up to ``wait_ms`` if there are none."""
         if self.faults.outage:
             return JSONResponse({"error": "outage"}, status_code=503)
         self.reads += 1
@@ -123,7 +123,7 @@
         return JSONResponse({})
 
     async def counts(self, _: Request) -> Response:
-        """Return how often the service was called."""
+        """Return the numbers of appends and reads."""
         return JSONResponse({"appends": self.appends, "reads": self.reads})
 
     async def _wait_for(self, stream: Stream, offset: int, wait: float) -> None:
@@ -138,7 +138,7 @@
 
 
 def main() -> None:
-    """Run the service."""
+    """Run the log service."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--port", type=int, required=True)
     arguments = parser.parse_args()
--- a/standin/published_configuration.py
+++ b/standin/published_configuration.py
@@ -1,4 +1,4 @@
-"""Configurations as operators publish them on the platform."""
+"""Builds configurations in the form in which operators publish them on the platform."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
     Attributes
     ----------
     service : str
-        Who runs it.
+        Service that receives the requests.
     host, prefix : str
-        What it takes.
+        Host and path prefix of the requests that match.
     safe : bool
-        Whether its requests may be repeated.
+        Whether requests may be repeated.
     public : bool
-        Whether they need no key.
+        Whether requests need no API key.
     timeout, target : float
-        Seconds.
+        Time limit and target latency, in seconds.
     priority, attempts : int
-        As in the configuration.
+        Priority, and maximum number of attempts of a request.
     weights : dict
-        In place of ``service`` where the route is split.
+        Weight by service, in place of ``service``, if the route is split.
     cold_per_second : float or None
-        What operators say that a cold backend server of the service bears.
+        Requests per second that a cold backend server of the service can take.
     """
 
     service: str
@@ -52,13 +52,13 @@
     Attributes
     ----------
     name : str
-        Its name.
+        Name of the team.
     keys : tuple of str
-        Its keys.
+        API keys.
     priority : int
-        Its rank.
+        Priority rank.
     per_second, burst : float
-        Its quota; 0 a second for none.
+        Quota in requests per second, 0 for none, and burst size in requests.
     """
 
     name: str
@@ -69,7 +69,7 @@
 
 
 def configuration(version: int, *routes: RouteOptions, teams: Iterable[TeamOptions] = ()) -> bytes:
-    """Return a configuration as operators publish it."""
+    """Return a configuration, encoded as JSON."""
     resources: list[dict[str, object]] = []
     cold_by_service: dict[str, float | None] = {}
     for number, route in enumerate(routes):
@@ -98,13 +98,13 @@
             traits["coldPerS"] = cold
         resources.append({"type": "services", "metadata": {"name": name}, "spec": traits})
     for team in teams:
-        holder = {
+        team_spec = {
             "apiKeys": list(team.keys),
             "priority": team.priority,
             "ratePerS": team.per_second,
             "burst": team.burst,
         }
-        resources.append({"type": "tenants", "metadata": {"name": team.name}, "spec": holder})
+        resources.append({"type": "tenants", "metadata": {"name": team.name}, "spec": team_spec})
     limits = {
         "maxHeaderBytes": 8192,
         "maxBodyBytes": 100_000,
--- a/standin/quota_fleet.py
+++ b/standin/quota_fleet.py
@@ -1,4 +1,4 @@
-"""Desks of many nodes on virtual time, with cuts, kills and pauses between them."""
+"""Quota coordinators of many nodes on virtual time, with network partitions and node failures."""
 
 from __future__ import annotations
 
@@ -32,34 +32,34 @@
     from hoisthook.teams.team import Team
 
 BOUNDS = QuotaBounds(window=5.0, over_share=0.1, extra=20.0)
-# How long an answer is waited for, and one way within a data centre and between two.
-SILENCE_SECONDS = 0.15
-NEAR_SECONDS = 0.001
-FAR_SECONDS = 0.003
-# Nodes hear of each other as often as they ask their readers.
+# Timeout of a quota request, and the one-way latency within a data centre and between two.
+TIMEOUT_SECONDS = 0.15
+LOCAL_LATENCY_SECONDS = 0.001
+REMOTE_LATENCY_SECONDS = 0.003
+# Nodes exchange messages as often as they poll the readers of their data centre.
 CONTACT_SECONDS = 0.6
-# A request that backend servers refuse has heard so within this time.
-NOT_RUN_SECONDS = 1.0
+# Longest time until backend servers have rejected a request.
+REJECTION_SECONDS = 1.0
 
 
 class LoopTime:
-    """The virtual loop's time as a clock."""
+    """A clock that reads the time of the virtual event loop."""
 
     def now(self) -> float:
-        """Return virtual seconds."""
+        """Return the virtual time in seconds."""
         return asyncio.get_running_loop().time()
 
 
 @dataclass(frozen=True)
 class NodeLocation:
-    """A node and where it stands."""
+    """A node and its data centre."""
 
     node: NodeId
     data_centre: DataCentre
 
 
 class OtherQuotaPeer:
-    """A node as another sees it."""
+    """A node as a quota peer of another node."""
 
     def __init__(self, place: NodeLocation, *, is_self: bool) -> None:
         self.peer = place
@@ -68,61 +68,89 @@
 
 
 class Node:
-    """One desk, and whom it can reach."""
+    """One node's quota coordinator, and the nodes that it can reach.
+
+    Attributes
+    ----------
+    partition : int
+        Network partition that the node is in; messages pass within one only.
+    alive : bool
+        Whether the node is running.
+    """
 
     def __init__(self, fleet: Fleet, place: NodeLocation) -> None:
         self.fleet = fleet
         self.place = place
-        self.side = 0
+        self.partition = 0
         self.alive = True
-        # Nodes to which nothing gets through from here, though others reach them.
+        # Nodes that this node cannot reach although others can.
         self.cannot_reach: set[NodeId] = set()
         self.quota_coordinator = self._new_quota_coordinator()
 
     def _new_quota_coordinator(self) -> QuotaCoordinator:
         return QuotaCoordinator(BOUNDS, self.place.data_centre, self, LoopTime(), NoLog())
 
-    def start_again(self) -> None:
-        """Start knowing nothing of before."""
+    def restart(self) -> None:
+        """Start again without the state from before."""
         self.alive = True
         self.quota_coordinator = self._new_quota_coordinator()
         self.quota_coordinator.knows(self.fleet.owners_for(self))
 
     async def ask(self, quota_peer: QuotaPeer, question: QuotaQuestion) -> QuotaAnswer | None:
-        """Return a node's answer, or None if the way there or back is cut."""
+        """Return a node's answer, or None if the request or the answer is lost."""
         other = self.fleet.by_node[quota_peer.peer.node]
         near = other.place.data_centre == self.place.data_centre
         if not self.reaches(other):
-            await asyncio.sleep(SILENCE_SECONDS)
+            await asyncio.sleep(TIMEOUT_SECONDS)
             return None
-        await asyncio.sleep(NEAR_SECONDS if near else FAR_SECONDS)
+        await asyncio.sleep(LOCAL_LATENCY_SECONDS if near else REMOTE_LATENCY_SECONDS)
         if near:
             other.quota_coordinator.heard()
         answer = await other.quota_coordinator.answer(question)
-        await asyncio.sleep(NEAR_SECONDS if near else FAR_SECONDS)
+        await asyncio.sleep(LOCAL_LATENCY_SECONDS if near else REMOTE_LATENCY_SECONDS)
         return answer if self.reaches(other) else None
 
     def reaches(self, other: Node) -> bool:
-        """Return whether messages pass."""
+        """Return whether messages from this node reach another."""
         if other.place.node in self.cannot_reach:
             return False
-        return other.alive and self.alive and other.side == self.side
+        return other.alive and self.alive and other.partition == self.partition
 
 
 class Fleet:
-    """Nodes in data centres, and what each team was admitted."""
+    """Nodes in data centres, and counts of the requests by team.
+
+    Parameters
+    ----------
+    per_data_centre : collection of int
+        Number of nodes of each data centre.
+    seed : int
+        Seeds all random choices.
+
+    Attributes
+    ----------
+    admitted : dict
+        Times at which requests of a team were admitted, in virtual seconds.
+    requested : dict
+        Number of requests of a team.
+    over_quota, unknown : dict
+        Number of requests of a team that were rejected since it was over its quota, or for
+        another reason such as an unreachable quota owner.
+    not_run_share : float
+        Share of the admitted requests that backend servers then reject.
+    """
 
     def __init__(self, per_data_centre: Collection[int], seed: int) -> None:
         self.random = random.Random(seed)
         self.by_node: dict[NodeId, Node] = {}
         self.admitted: dict[TeamName, list[float]] = defaultdict(list)
-        self.asked: dict[TeamName, int] = defaultdict(int)
-        self.asked_by_rank: dict[int, int] = defaultdict(int)
+        self.requested: dict[TeamName, int] = defaultdict(int)
+        self.requested_by_rank: dict[int, int] = defaultdict(int)
         self.admitted_by_rank: dict[int, int] = defaultdict(int)
-        self.over: dict[TeamName, int] = defaultdict(int)
+        self.over_quota: dict[TeamName, int] = defaultdict(int)
         self.unknown: dict[TeamName, int] = defaultdict(int)
         self.not_run_share = 0.0
-        self._serving: list[asyncio.Task[None]] = []
+        self._request_tasks: list[asyncio.Task[None]] = []
         for number, count in enumerate(per_data_centre):
             for place in range(count):
                 name = NodeId(f"node-{number}-{place}")
@@ -136,13 +164,13 @@
         return list(self.by_node.values())
 
     def owners_for(self, node: Node) -> QuotaOwners:
-        """Return who gives out quotas, as a node sees it."""
+        """Return the owners of the quotas from a node's point of view."""
         return QuotaOwners(
             [OtherQuotaPeer(other.place, is_self=other is node) for other in self.by_node.values()]
         )
 
     async def keep_in_contact(self) -> None:
-        """Have nodes of a data centre hear of each other."""
+        """Keep each node in contact with a random one of its data centre."""
         while True:
             await asyncio.sleep(CONTACT_SECONDS)
             for node in self.nodes:
@@ -157,7 +185,7 @@
                     self.random.choice(near).quota_coordinator.heard()
                     node.quota_coordinator.heard()
 
-    async def press(
+    async def send_requests(
         self,
         team: Team,
         per_second: float,
@@ -166,70 +194,70 @@
         *,
         rank: int = 0,
     ) -> None:
-        """Send requests at random moments to random nodes."""
-        at = list(self.nodes if nodes is None else nodes)
-        until = asyncio.get_running_loop().time() + seconds
-        while asyncio.get_running_loop().time() < until:
+        """Send requests of a team to random nodes as a Poisson process."""
+        targets = list(self.nodes if nodes is None else nodes)
+        end_time = asyncio.get_running_loop().time() + seconds
+        while asyncio.get_running_loop().time() < end_time:
             await asyncio.sleep(self.random.expovariate(per_second))
-            node = self.random.choice(at)
+            node = self.random.choice(targets)
             if node.alive:
-                self._serving.append(asyncio.create_task(self._one(node, team, rank)))
+                self._request_tasks.append(asyncio.create_task(self._request(node, team, rank)))
 
-    async def settle(self) -> None:
-        """Wait for the requests under way."""
-        await asyncio.gather(*self._serving)
+    async def wait_for_requests(self) -> None:
+        """Wait until all requests sent so far are resolved."""
+        await asyncio.gather(*self._request_tasks)
 
-    async def _one(self, node: Node, team: Team, rank: int) -> None:
-        self.asked[team.name] += 1
-        self.asked_by_rank[rank] += 1
+    async def _request(self, node: Node, team: Team, rank: int) -> None:
+        self.requested[team.name] += 1
+        self.requested_by_rank[rank] += 1
         assert team.quota is not None
-        refused = await node.quota_coordinator.admit(team.name, team.quota, rank)
-        if isinstance(refused, Token):
+        outcome = await node.quota_coordinator.admit(team.name, team.quota, rank)
+        if isinstance(outcome, Token):
             if self.random.random() < self.not_run_share:
-                # Refused by backend servers that are full, after a while.
-                await asyncio.sleep(self.random.random() * NOT_RUN_SECONDS)
-                node.quota_coordinator.not_run(team.name, team.quota, refused)
+                # Rejected after a delay by backend servers without free slots.
+                await asyncio.sleep(self.random.random() * REJECTION_SECONDS)
+                node.quota_coordinator.not_run(team.name, team.quota, outcome)
                 return
             self.admitted[team.name].append(asyncio.get_running_loop().time())
             self.admitted_by_rank[rank] += 1
-        elif refused.code.value.http_status == 429:
-            self.over[team.name] += 1
+        elif outcome.code.value.http_status == 429:
+            self.over_quota[team.name] += 1
         else:
             self.unknown[team.name] += 1
 
     def close(self) -> None:
-        """Stop what is under way at all nodes."""
+        """Close the quota coordinators of all nodes."""
         for node in self.nodes:
             node.quota_coordinator.close()
 
     def most_in_window(self, team: Team) -> int:
-        """Return the most requests of a team that ran in any window."""
+        """Return the largest number of requests of a team admitted in any window."""
         times = sorted(self.admitted[team.name])
-        ends = (bisect_right(times, at + BOUNDS.window - 1e-9) for at in times)
-        return max((end - place for place, end in enumerate(ends)), default=0)
+        window_ends = (bisect_right(times, at + BOUNDS.window - 1e-9) for at in times)
+        return max((end - place for place, end in enumerate(window_ends)), default=0)
 
 
-def bound(quota: Quota) -> float:
-    """Return how many may run in a window."""
+def window_limit(quota: Quota) -> float:
+    """Return how many requests of a quota may be admitted in a window."""
     within = quota.per_second * BOUNDS.window + quota.burst
     return within * (1.0 + BOUNDS.over_share) + BOUNDS.extra
 
 
-def play(
-    per_data_centre: Collection[int], seed: int, story: Callable[[Fleet], Awaitable[None]]
+def run_scenario(
+    per_data_centre: Collection[int], seed: int, scenario: Callable[[Fleet], Awaitable[None]]
 ) -> Fleet:
-    """Play a story on a fleet; return it with its counts."""
-    told: list[Fleet] = []
+    """Run a scenario on a fleet in virtual time; return the fleet with its counts."""
+    fleets: list[Fleet] = []
 
     async def main() -> None:
         fleet = Fleet(per_data_centre, seed)
-        told.append(fleet)
+        fleets.append(fleet)
         contact = asyncio.create_task(fleet.keep_in_contact())
         await asyncio.sleep(1.0)
-        await story(fleet)
-        await fleet.settle()
+        await scenario(fleet)
+        await fleet.wait_for_requests()
         contact.cancel()
         fleet.close()
 
     run_virtually(main())
-    return told[0]
+    return fleets[0]
--- a/standin/run.py
+++ b/standin/run.py
@@ -1,4 +1,4 @@
-"""Runs a deployment until interrupted.
+"""Runs a deployment with the log service and backend servers until interrupted.
 
 Usage: python -m standin.run [--seva] [--base-port PORT]
 """
@@ -19,7 +19,7 @@
 
 
 async def run(cluster: Cluster) -> int:
-    """Start, print each address and last ``ready``, serve until interrupted, stop."""
+    """Start the cluster, print its addresses and ``ready``, and stop it when interrupted."""
     interrupted = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGINT, signal.SIGTERM):
@@ -36,19 +36,21 @@
 
 def _print_addresses(cluster: Cluster) -> None:
     sys.stdout.write(f"log 127.0.0.1:{cluster.log_port}\n")
-    for place in cluster.places:
+    for instance in cluster.instances:
         sys.stdout.write(
-            f"{place.name} ({place.data_centre}) callers 127.0.0.1:{place.callers}"
-            f" operators 127.0.0.1:{place.operators} backend 127.0.0.1:{place.backend}\n"
+            f"{instance.name} ({instance.data_centre}) callers 127.0.0.1:{instance.callers}"
+            f" operators 127.0.0.1:{instance.operators} backend 127.0.0.1:{instance.backend}\n"
         )
     sys.stdout.write("ready\n")
     sys.stdout.flush()
 
 
 def main() -> None:
-    """Run the deployment that the arguments name."""
+    """Run the deployment that the arguments select."""
     parser = argparse.ArgumentParser()
-    parser.add_argument("--seva", action="store_true", help="Paschimbanga Seva's, not Teranga's")
+    parser.add_argument(
+        "--seva", action="store_true", help="deployment of Paschimbanga Seva instead of Teranga"
+    )
     parser.add_argument("--base-port", type=int, default=BASE_PORT)
     arguments = parser.parse_args()
     deployment = SEVA if arguments.seva else TERANGA
--- a/standin/soak_crashes.py
+++ b/standin/soak_crashes.py
@@ -1,4 +1,4 @@
-"""A caller of the soak whose request ends every backend server that begins to run it."""
+"""Soak load whose request crashes every backend server that starts to execute it."""
 
 from __future__ import annotations
 
@@ -10,90 +10,96 @@
 
 if TYPE_CHECKING:
     from standin.mesh_cluster import MeshCluster
-    from standin.mesh_cluster import MeshPlace
-    from standin.soak_load import Findings
+    from standin.mesh_cluster import MeshInstance
     from standin.soak_load import SoakLoad
+    from standin.soak_load import SoakResults
 
 SERVICE = "shop"
-# How long a backend server that ended is away.
-AWAY_SECONDS = 1.0
-# Until when after the third end nodes may not have heard of it, and how often the request may
-# reach a backend server later.
-SETTLED_SECONDS = 3.0
-MOST_LATE = 3
-ENDS_NEEDED = 3
+# Time until a crashed backend server is started again.
+RESTART_DELAY_SECONDS = 1.0
+# Longest time after the third crash until all nodes have been notified of it, and how many
+# requests may still reach a backend server after that.
+NOTIFICATION_SECONDS = 3.0
+MAX_LATE_ARRIVALS = 3
+CRASHES_BEFORE_REFUSAL = 3
 
 
 class CrashingCaller:
-    """Sends one request again and again, and brings back what it ends.
+    """Sends a crashing request repeatedly, and restarts the backend servers that it crashes.
 
     Parameters
     ----------
     cluster : MeshCluster
-        Where it calls.
+        The cluster under test.
     load : SoakLoad
-        Sends.
+        Sends the requests.
     seed : int
-        Draws where and when, apart from the soak's other draws.
-    findings : Findings
-        Gets what breaks a promise.
+        Seeds the choice of nodes and delays, independently of the soak's other random choices.
+    results : SoakResults
+        Receives violated guarantees.
     """
 
-    def __init__(self, cluster: MeshCluster, load: SoakLoad, seed: int, findings: Findings) -> None:
+    def __init__(
+        self, cluster: MeshCluster, load: SoakLoad, seed: int, results: SoakResults
+    ) -> None:
         self._cluster = cluster
         self._load = load
         self._random = random.Random(seed)
-        self._findings = findings
-        self._ended_at: list[float] = []
+        self._results = results
+        self._crash_times: list[float] = []
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self, work_seconds: float) -> None:
-        """Begin to send.
+        """Start sending the request and restarting crashed backend servers.
 
         Parameters
         ----------
         work_seconds : float
-            How long other requests run beside.
+            Service time of the other requests, in seconds.
         """
         loop = asyncio.get_running_loop()
-        shops = [place for place in self._cluster.places if place.service == SERVICE]
-        for place in shops:
-            place.backend.crash_on(CRASHING_PATH.encode())
-            place.backend.work_seconds = work_seconds
-        self._tasks = [loop.create_task(self._keep(place)) for place in shops]
+        shops = [instance for instance in self._cluster.instances if instance.service == SERVICE]
+        for instance in shops:
+            instance.backend.crash_on(CRASHING_PATH.encode())
+            instance.backend.work_seconds = work_seconds
+        self._tasks = [
+            loop.create_task(self._restart_after_crashes(instance)) for instance in shops
+        ]
         self._tasks.append(loop.create_task(self._send_forever()))
 
     def stop(self) -> None:
-        """Send no more."""
+        """Stop sending and restarting."""
         for task in self._tasks:
             task.cancel()
 
     def check(self) -> None:
-        """Note what reached backend servers although they were known to end under it."""
-        began = [
+        """Record a violation if requests that are known to crash servers still reached them."""
+        arrived_at = [
             at
-            for place in self._cluster.places
-            for arrival, at in zip(place.backend.arrivals, place.backend.arrival_times, strict=True)
+            for instance in self._cluster.instances
+            for arrival, at in zip(
+                instance.backend.arrivals, instance.backend.arrival_times, strict=True
+            )
             if arrival.target == CRASHING_PATH.encode()
         ]
-        self._findings.faults["ended"] += len(self._ended_at)
-        if len(self._ended_at) < ENDS_NEEDED:
+        self._results.faults["ended"] += len(self._crash_times)
+        if len(self._crash_times) < CRASHES_BEFORE_REFUSAL:
             return
-        settled = sorted(self._ended_at)[ENDS_NEEDED - 1] + SETTLED_SECONDS
-        late = [at for at in began if at > settled]
-        if len(late) > MOST_LATE:
-            told = f"crashing work began {len(late)} times after nodes had heard of it"
-            self._findings.broken.append(told)
+        notified_by = sorted(self._crash_times)[CRASHES_BEFORE_REFUSAL - 1] + NOTIFICATION_SECONDS
+        late = [at for at in arrived_at if at > notified_by]
+        if len(late) > MAX_LATE_ARRIVALS:
+            message = f"crashing request arrived {len(late)} times after nodes were notified of it"
+            self._results.violations.append(message)
 
-    async def _keep(self, place: MeshPlace) -> None:
+    async def _restart_after_crashes(self, instance: MeshInstance) -> None:
         while True:
-            await place.backend.crashed.wait()
-            self._ended_at.append(asyncio.get_running_loop().time())
-            await asyncio.sleep(AWAY_SECONDS)
-            await place.backend.start_as(f"{place.backend.instance}+")
+            await instance.backend.crashed.wait()
+            self._crash_times.append(asyncio.get_running_loop().time())
+            await asyncio.sleep(RESTART_DELAY_SECONDS)
+            await instance.backend.start_as(f"{instance.backend.instance}+")
 
     async def _send_forever(self) -> None:
         while True:
-            place = self._random.choice(self._cluster.places)
-            await self._load.send(place, SERVICE, CRASHING_PATH)
+            instance = self._random.choice(self._cluster.instances)
+            await self._load.send(instance, SERVICE, CRASHING_PATH)
             await asyncio.sleep(0.3 + 0.5 * self._random.random())
--- a/standin/soak_repeats.py
+++ b/standin/soak_repeats.py
@@ -1,4 +1,4 @@
-"""A service of the soak that turns work away while nodes are killed in series, and its repeats."""
+"""Soak load in which a service rejects requests while nodes are killed, and a check of repeats."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
     from collections.abc import Callable
 
     from standin.mesh_cluster import MeshCluster
-    from standin.mesh_cluster import MeshPlace
-    from standin.soak_load import Findings
+    from standin.mesh_cluster import MeshInstance
     from standin.soak_load import SoakLoad
+    from standin.soak_load import SoakResults
 
 SERVICE = "shop"
 REJECTING_SECONDS = 0.2
@@ -29,39 +29,42 @@
 
 
 class RejectingService:
-    """Has a service turn away most of its work, and kills half of the nodes again and again.
+    """Has a service reject most of its requests, and kills half of the nodes repeatedly.
 
     Parameters
     ----------
     cluster : MeshCluster
-        What is befallen.
-    start_again : callable
-        Starts the node of a place that has none.
+        The cluster under test.
+    restart_if_down : callable
+        Starts the node of an instance unless it is running.
     seed : int
-        Draws apart from the soak's other draws.
+        Seeds the random choices, independently of the soak's other random choices.
     """
 
     def __init__(
-        self, cluster: MeshCluster, start_again: Callable[[MeshPlace], Awaitable[None]], seed: int
+        self,
+        cluster: MeshCluster,
+        restart_if_down: Callable[[MeshInstance], Awaitable[None]],
+        seed: int,
     ) -> None:
         self._cluster = cluster
-        self._start_again = start_again
+        self._restart_if_down = restart_if_down
         self._random = random.Random(seed)
         self._is_stopping = False
         self._rejecting: asyncio.Task[None] | None = None
         self._killing: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin."""
+        """Start rejecting requests and killing nodes."""
         loop = asyncio.get_running_loop()
         self._rejecting = loop.create_task(self._reject())
-        self._killing = loop.create_task(self._kill_in_series())
+        self._killing = loop.create_task(self._kill_repeatedly())
 
     async def stop(self) -> None:
-        """End; every node runs again.
+        """Stop; every node is running again afterwards.
 
-        A round of kills is played to its end: a node that is killed and not waited for would be
-        taken for running, and not be started again.
+        A round of kills is completed rather than cancelled: a node that was killed but whose exit
+        was not awaited would be taken for running, and would not be started again.
         """
         assert self._rejecting is not None
         assert self._killing is not None
@@ -71,37 +74,39 @@
         await self._killing
 
     async def _reject(self) -> None:
-        """Let two of three backend servers turn work away at any time."""
-        shops = [place for place in self._cluster.places if place.service == SERVICE]
+        """Let all but one of the service's backend servers reject requests at any time."""
+        shops = [instance for instance in self._cluster.instances if instance.service == SERVICE]
         while True:
-            sound = self._random.choice(shops)
-            for place in shops:
-                place.backend.fault = Fault.NONE if place is sound else Fault.SHED
+            accepting = self._random.choice(shops)
+            for instance in shops:
+                instance.backend.fault = Fault.NONE if instance is accepting else Fault.SHED
             await asyncio.sleep(REJECTING_SECONDS)
 
-    async def _kill_in_series(self) -> None:
-        places = self._cluster.places
+    async def _kill_repeatedly(self) -> None:
+        instances = self._cluster.instances
         while not self._is_stopping:
             await asyncio.sleep(KILL_SECONDS)
-            killed = self._random.sample(places, round(KILLED_SHARE * len(places)))
+            killed = self._random.sample(instances, round(KILLED_SHARE * len(instances)))
             with contextlib.suppress(ProcessLookupError):
-                await asyncio.gather(*(self._cluster.kill(place) for place in killed))
-            for place in killed:
-                await self._start_again(place)
+                await asyncio.gather(*(self._cluster.kill(instance) for instance in killed))
+            for instance in killed:
+                await self._restart_if_down(instance)
 
 
-def check_repeats(cluster: MeshCluster, load: SoakLoad, findings: Findings) -> None:
-    """Note each service that got more arrivals beyond the first in some window than allowed."""
+def check_repeats(cluster: MeshCluster, load: SoakLoad, results: SoakResults) -> None:
+    """Record each service whose repeats in some window exceeded the allowed number."""
     ledger = ArrivalLedger()
-    for service, moment in load.requested:
-        ledger.requested(ServiceName(service), moment)
+    for service, time in load.requested:
+        ledger.requested(ServiceName(service), time)
     arrivals = sorted(
-        (moment, place.service, arrival.request_id)
-        for place in cluster.places
-        for arrival, moment in zip(place.backend.arrivals, place.backend.arrival_times, strict=True)
+        (time, instance.service, arrival.request_id)
+        for instance in cluster.instances
+        for arrival, time in zip(
+            instance.backend.arrivals, instance.backend.arrival_times, strict=True
+        )
     )
-    for moment, service, request in arrivals:
-        ledger.arrived(ServiceName(service), RequestId(request), moment, by_repeat=False)
+    for time, service, request in arrivals:
+        ledger.arrived(ServiceName(service), RequestId(request), time, by_repeat=False)
     allowed = MeshRetrySettings()
     for service in cluster.deployment.count_by_service:
         fullest = ledger.fullest(
@@ -110,7 +115,9 @@
             window=allowed.window_seconds,
             extra=allowed.extra,
         )
-        findings.repeats = max(findings.repeats, fullest.beyond)
+        results.repeats = max(results.repeats, fullest.beyond)
         if fullest.beyond > fullest.allowed:
-            told = f"{service}: {fullest.beyond} repeats in a window, {fullest.allowed:.0f} allowed"
-            findings.broken.append(told)
+            message = (
+                f"{service}: {fullest.beyond} repeats in a window, {fullest.allowed:.0f} allowed"
+            )
+            results.violations.append(message)
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes at the ports."""
+"""In-memory fakes for the ports of hoisthook."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class FakeLog:
-    """Streams in memory, with the faults of the brief."""
+    """The platform log in memory, with outages, lost requests, lost answers and expired records."""
 
     def __init__(self) -> None:
         self.records_by_stream: dict[str, list[bytes]] = {}
@@ -83,7 +83,7 @@
 
 
 class FakePeer:
-    """What a transport can ask of one node."""
+    """The parts of a node that a peer transport calls."""
 
     def __init__(self, gossip: Gossip, follower: object = None) -> None:
         self.gossip = gossip
@@ -91,7 +91,7 @@
 
 
 class FakePeers:
-    """Peers in memory; those in ``cut`` do not answer."""
+    """Peer transport in memory; addresses in ``cut`` are unreachable."""
 
     def __init__(self, peer_by_address: dict[Address, FakePeer]) -> None:
         self._peer_by_address = peer_by_address
--- a/tests/mesh/test_admission.py
+++ b/tests/mesh/test_admission.py
@@ -80,7 +80,7 @@
     peers.append(odd)
     ingress = await system.add("front")
     sound = await system.add("shop", data_centre="two")
-    system.introduce_all()
+    system.merge_all_peers()
     me = Peer(NodeId("odd"), await odd.start(), ServiceName("shop"), DataCentre("one"))
     ingress.node.directory.merge([me], "test")
     system.publish(1, RouteOptions("shop", safe=safe))
@@ -263,7 +263,7 @@
     while server.node.link.gate.running:
         await asyncio.sleep(0.005)
     assert server.backend.arrivals == []
-    system.introduce_all()
+    system.merge_all_peers()
     system.publish(1, RouteOptions("shop"))
     await system.until_configured(1)
     assert (await system.call(ingress))[0] == 200
@@ -317,7 +317,7 @@
     monkeypatch.setattr("hoisthook.mesh.admitted_exchange.ADMISSION_SHARE_OF_TARGET", 0.0)
     ingress = await system.add("front")
     server = await system.add("shop", slots=1)
-    system.introduce_all()
+    system.merge_all_peers()
     system.publish(1, RouteOptions("shop", target=2.0, timeout=20.0))
     await system.until_configured(1)
     server.backend.work_seconds = 0.4
--- a/tests/mesh/test_cold_backend.py
+++ b/tests/mesh/test_cold_backend.py
@@ -27,7 +27,7 @@
     system.cold = COLD
     ingresses = [await system.add("front") for _ in range(3)]
     server = await system.add("shop", slots=100)
-    system.introduce_all()
+    system.merge_all_peers()
     system.publish(1, RouteOptions("shop", cold_per_second=PER_SECOND))
     await system.until_configured(1)
     # The first second of a node counts as full.
@@ -47,7 +47,7 @@
 async def test_announced_cold_server_gets_no_more_than_it_bears(system: MeshSystem) -> None:
     ingresses, server = await ingresses_and_server(system)
     server.backend.cold_seconds = 30.0
-    await server.beat()
+    await server.send_heartbeat()
     statuses = await press(system, ingresses)
     times = server.backend.arrival_times
     assert most_in_a_second(times) <= BOUND
@@ -68,7 +68,7 @@
 async def test_health_that_is_refused_does_not_say_that_it_is_warm(system: MeshSystem) -> None:
     ingresses, server = await ingresses_and_server(system)
     server.backend.cold_seconds = 30.0
-    await server.beat()
+    await server.send_heartbeat()
     server.backend.healthy = False
     await press(system, ingresses)
     assert server.backend.health_reads
@@ -88,13 +88,13 @@
 ) -> None:
     ingresses, server = await ingresses_and_server(system)
     server.backend.cold_seconds = 30.0
-    await server.beat()
+    await server.send_heartbeat()
     await press(system, ingresses)
     sent = len(server.backend.arrivals)
     server.crash()
     system.machines.remove(server)
     again = await system.add("shop", backend=server.backend)
-    system.introduce_all()
+    system.merge_all_peers()
     await press(system, ingresses)
     assert again.backend.arrivals[sent:]
     assert most_in_a_second(server.backend.arrival_times) <= BOUND
--- a/tests/mesh/test_configuration_watch.py
+++ b/tests/mesh/test_configuration_watch.py
@@ -139,7 +139,7 @@
 ) -> None:
     ahead = await system.add("front")
     behind = await system.add("shop")
-    system.introduce_all()
+    system.merge_all_peers()
     system.publish(1, RouteOptions("shop"))
     await system.until_configured(1)
     behind.node.sync.peer_port = ahead.node.peers_address[1]
@@ -199,7 +199,7 @@
     system.readers_per_data_centre = 1
     for _ in range(3):
         await system.add("shop")
-    system.introduce_all()
+    system.merge_all_peers()
     system.publish(1, RouteOptions("shop"))
     await system.until_configured(1)
     followers = [m for m in system.machines if m.node._watch._readers.to_ask()]
--- a/tests/mesh/test_crashing_requests.py
+++ b/tests/mesh/test_crashing_requests.py
@@ -43,7 +43,7 @@
     """Return entries and the machines of a service that ends under one request."""
     ingresses = [await system.add("front", data_centre=f"c{n % 2}") for n in range(INGRESSES)]
     shops = [await system.add("shop", data_centre=f"c{n % 2}") for n in range(SERVERS)]
-    system.introduce_all()
+    system.merge_all_peers()
     system.publish(1, RouteOptions("shop", attempts=3, safe=safe, target=20.0, timeout=30.0))
     await system.until_configured(1)
     for shop in shops:
@@ -62,7 +62,7 @@
             )
         )
         await shop.backend.start_as(f"{before}+")
-        assert await shop.beat() == 200
+        assert await shop.send_heartbeat() == 200
 
 
 def crashes(shops: list[Machine]) -> int:
@@ -138,8 +138,8 @@
     for key in crash_records(system):
         system.store.put(NODES_TOPIC, key, b"")
     shops[0].crash()
-    again = await system.start_again(shops[0])
-    assert await again.beat() == 200
+    again = await system.restart(shops[0])
+    assert await again.send_heartbeat() == 200
     await until(lambda: again.node.crashes.evidence.refused == 1)
 
 
@@ -149,9 +149,9 @@
     await until(lambda: bool(crash_records(system)))
     for machine in [*ingresses, *shops]:
         machine.crash()
-    started = [await system.start_again(machine) for machine in [*ingresses, *shops]]
+    started = [await system.restart(machine) for machine in [*ingresses, *shops]]
     for machine in started:
-        assert await machine.beat() == 200
+        assert await machine.send_heartbeat() == 200
     await until(lambda: all(m.node.crashes.evidence.refused == 1 for m in started))
     await system.until_configured(1)
     before = crashes(shops)
--- a/tests/mesh/test_dropping_backend.py
+++ b/tests/mesh/test_dropping_backend.py
@@ -20,7 +20,7 @@
 async def ingress_and_shop(system: MeshSystem) -> tuple[Machine, Machine]:
     ingress = await system.add("front")
     shop = await system.add("shop")
-    system.introduce_all()
+    system.merge_all_peers()
     system.publish(1, RouteOptions("shop", safe=False, target=20.0, timeout=30.0))
     await system.until_configured(1)
     shop.backend.fault = Fault.RESET
--- a/tests/mesh/test_evacuation.py
+++ b/tests/mesh/test_evacuation.py
@@ -30,7 +30,7 @@
     ingress = await system.add("front")
     near = await system.add("shop")
     far = await system.add("shop", data_centre="two")
-    system.introduce_all()
+    system.merge_all_peers()
     system.publish(1, RouteOptions("shop"))
     await system.until_configured(1)
     return ingress, near, far
@@ -141,7 +141,7 @@
     _, near, _ = await ingress_and_two_servers(system)
     system.store.outage = Outage.BUSY
     later = await system.add("front", data_centre="three")
-    system.introduce_all()
+    system.merge_all_peers()
     near.node.evacuations.offer(1000, [TWO], ConfigurationSource.STORE)
     await until(lambda: later.node.evacuations.data_centres == {TWO})
 
--- a/tests/mesh/test_incarnations.py
+++ b/tests/mesh/test_incarnations.py
@@ -104,20 +104,20 @@
 async def test_server_that_starts_again_under_its_id_serves_and_drains(system: MeshSystem) -> None:
     ingress = await system.add("front")
     server = await system.add("shop", announced=False)
-    system.introduce_all()
+    system.merge_all_peers()
     system.publish(1, RouteOptions("shop"))
     await system.until_configured(1)
-    server.backend.start_again(EARLIER)
+    server.backend.restart(EARLIER)
     for _ in range(5):
-        await server.beat()
-    await server.backend.leave(server.endpoints.announcements_address)
+        await server.send_heartbeat()
+    await server.backend.deregister(server.endpoints.announcements_address)
     assert (await system.call(ingress))[0] == 503
-    server.backend.start_again(LATER)
-    await server.beat()
+    server.backend.restart(LATER)
+    await server.send_heartbeat()
     async with asyncio.timeout(5.0):
         while (await system.call(ingress))[0] != 200:
             await asyncio.sleep(0.05)
     served = len(server.backend.arrivals)
-    await server.beat("draining")
+    await server.send_heartbeat("draining")
     assert (await system.call(ingress))[0] == 503
     assert len(server.backend.arrivals) == served
--- a/tests/mesh/test_key_lease.py
+++ b/tests/mesh/test_key_lease.py
@@ -25,7 +25,7 @@
     system.readers_per_data_centre = 1
     for _ in range(4):
         await system.add("shop")
-    system.introduce_all()
+    system.merge_all_peers()
     system.publish(1, *ROUTES, teams=[PORT])
     await system.until_configured(1)
 
--- a/tests/mesh/test_leaving.py
+++ b/tests/mesh/test_leaving.py
@@ -45,7 +45,7 @@
     machines = [await system.add("front")]
     for number in range(count):
         machines.append(await system.add("shop", data_centre=f"dc-{number}"))
-    system.introduce_all()
+    system.merge_all_peers()
     system.publish(1, RouteOptions("shop", safe=safe))
     await system.until_configured(1)
     return machines
@@ -78,7 +78,7 @@
     await asyncio.sleep(0)
     assert (await system.call(ingress))[0] == 200
     assert first.backend.runs == []
-    assert await second.beat("draining") == 200
+    assert await second.send_heartbeat("draining") == 200
     assert (await system.call(ingress))[0] == 200
     assert len(first.backend.runs) == 1
     assert await closing
@@ -102,7 +102,7 @@
     system.publish(2, RouteOptions("shop", target=2.0, timeout=20.0))
     await system.until_configured(2)
     for machine in (first, second):
-        machine.backend.go_on.clear()
+        machine.backend.may_finish.clear()
     calls = [asyncio.create_task(system.call(ingress)) for _ in range(8)]
     async with asyncio.timeout(10.0):
         while first.backend.running + second.backend.running < 8:
@@ -113,9 +113,9 @@
             await asyncio.sleep(0.001)
     drained = first if first.node.link.gate.waiting else second
     arrivals = len(drained.backend.arrivals)
-    assert await drained.beat("draining") == 200
+    assert await drained.send_heartbeat("draining") == 200
     for machine in (first, second):
-        machine.backend.go_on.set()
+        machine.backend.may_finish.set()
     await waiting
     await asyncio.gather(*calls)
     assert len(drained.backend.arrivals) == arrivals
@@ -201,7 +201,7 @@
 ) -> None:
     ingress, _ = await shops(system, 1)
     near = await system.add("shop", data_centre="one")
-    system.introduce_all()
+    system.merge_all_peers()
     opened: list[object] = []
     real = ingress.node._peer_pool.open
 
@@ -220,9 +220,9 @@
 
 async def test_drained_backend_server_is_used_again_once_it_is_ready(system: MeshSystem) -> None:
     ingress, server = await shops(system, 1)
-    assert await server.beat("draining") == 200
+    assert await server.send_heartbeat("draining") == 200
     assert (await system.call(ingress))[0] == 503
-    assert await server.beat("ready") == 200
+    assert await server.send_heartbeat("ready") == 200
     assert (await system.call(ingress))[0] == 200
 
 
@@ -295,5 +295,5 @@
     assert isinstance(outcome, Refused)
     assert outcome.code is ResultCode.CONFIGURATION_MISSING
     assert shop.backend.arrivals == []
-    assert await shop.beat() == 200
+    assert await shop.send_heartbeat() == 200
     assert isinstance(await shop.node.link.run(call, Admission.DIRECT), CompleteAnswer)
--- a/tests/mesh/test_leaving_entry.py
+++ b/tests/mesh/test_leaving_entry.py
@@ -30,7 +30,7 @@
     monkeypatch.setattr(ServerExchange, "go_ahead", late)
     ingress = await system.add("front")
     server = await system.add("shop")
-    system.introduce_all()
+    system.merge_all_peers()
     system.publish(1, RouteOptions("shop", target=0.3))
     await system.until_configured(1)
     server.backend.work_seconds = 2 * SILENT_SECONDS
--- a/tests/mesh/test_path.py
+++ b/tests/mesh/test_path.py
@@ -18,7 +18,7 @@
     """Return an entry beside another service, and the node that serves the route."""
     ingress = await system.add("front")
     server = await system.add("shop")
-    system.introduce_all()
+    system.merge_all_peers()
     system.publish(1, RouteOptions("shop", safe=safe))
     await system.until_configured(1)
     return ingress, server
@@ -93,7 +93,7 @@
 ) -> None:
     ingress = await system.add("front")
     server = await system.add("shop", slots=1)
-    system.introduce_all()
+    system.merge_all_peers()
     system.publish(
         1,
         RouteOptions("shop", target=0.02),
@@ -117,7 +117,7 @@
 ) -> None:
     ingress, server = await two_services(system, safe=False)
     other = await system.add("shop")
-    system.introduce_all()
+    system.merge_all_peers()
     server.backend.fault = fault
     other.backend.fault = fault
     status, headers, _ = await system.call(ingress, method=b"POST")
@@ -132,7 +132,7 @@
 ) -> None:
     ingress, server = await two_services(system)
     other = await system.add("shop", data_centre="two")
-    system.introduce_all()
+    system.merge_all_peers()
     server.backend.fault = fault
     status, _, _ = await system.call(ingress)
     assert status == 200
@@ -149,7 +149,7 @@
 async def test_request_that_a_backend_server_sheds_goes_to_another(system: MeshSystem) -> None:
     ingress, server = await two_services(system, safe=False)
     other = await system.add("shop", data_centre="two")
-    system.introduce_all()
+    system.merge_all_peers()
     server.backend.fault = Fault.SHED
     status, _, _ = await system.call(ingress, method=b"POST")
     assert status == 200
@@ -218,7 +218,7 @@
     system: MeshSystem,
 ) -> None:
     ingress, server = await two_services(system)
-    assert await server.beat("draining") == 200
+    assert await server.send_heartbeat("draining") == 200
     status, _, _ = await system.call(ingress)
     assert status == 503
     assert server.backend.arrivals == []
@@ -228,8 +228,8 @@
     system: MeshSystem,
 ) -> None:
     ingress, server = await two_services(system)
-    assert await server.backend.leave(server.endpoints.announcements_address) == 200
-    assert await server.beat() == 200
+    assert await server.backend.deregister(server.endpoints.announcements_address) == 200
+    assert await server.send_heartbeat() == 200
     status, _, _ = await system.call(ingress)
     assert status == 503
     assert server.backend.arrivals == []
@@ -237,9 +237,9 @@
 
 async def test_older_heartbeat_does_not_undo_a_drain(system: MeshSystem) -> None:
     ingress, server = await two_services(system)
-    assert await server.beat("draining") == 200
+    assert await server.send_heartbeat("draining") == 200
     late = server.endpoints.announcements_address
-    assert await server.backend.beat(late, sequence=1) == 200
+    assert await server.backend.send_heartbeat(late, sequence=1) == 200
     status, _, _ = await system.call(ingress)
     assert status == 503
 
@@ -251,7 +251,7 @@
     server.crash()
     server.backend.healthy = False
     again = await system.add("shop", backend=server.backend, announced=False)
-    system.introduce_all()
+    system.merge_all_peers()
     await system.until_configured(1)
     status, _, _ = await system.call(ingress)
     assert status == 503
@@ -266,7 +266,7 @@
     server.backend.work_seconds = 0.3
     answers = await asyncio.gather(*(system.call(ingress) for _ in range(12)))
     statuses = sorted(status for status, _, _ in answers)
-    assert server.backend.most_running <= 4
+    assert server.backend.max_running <= 4
     assert statuses[0] == 200
     assert set(statuses) <= {200, 503}
     refused = [headers for status, headers, _ in answers if status == 503]
@@ -276,7 +276,7 @@
 async def test_slow_backend_server_hands_over_to_a_fast_one(system: MeshSystem) -> None:
     ingress, server = await two_services(system)
     other = await system.add("shop", data_centre="two")
-    system.introduce_all()
+    system.merge_all_peers()
     server.backend.slowdown = 400
     await server.node.link.health.read()
     status, _, _ = await system.call(ingress)
@@ -295,7 +295,7 @@
 async def test_node_that_is_gone_is_passed_over(system: MeshSystem) -> None:
     ingress, server = await two_services(system, safe=False)
     other = await system.add("shop", data_centre="two")
-    system.introduce_all()
+    system.merge_all_peers()
     server.crash()
     status, _, _ = await system.call(ingress, method=b"POST")
     assert status == 200
@@ -320,10 +320,10 @@
     ingress = await system.add("front")
     big = await system.add("big")
     small = await system.add("small")
-    system.introduce_all()
+    system.merge_all_peers()
     system.publish(1, RouteOptions("", weights={"big": 90, "small": 10}))
     await system.until_configured(1)
-    assert await small.beat("draining") == 200
+    assert await small.send_heartbeat("draining") == 200
     statuses = [(await system.call(ingress))[0] for _ in range(50)]
     assert statuses.count(200) == len(big.backend.runs) == 45
     assert statuses.count(503) == 5
--- a/tests/mesh/test_pipelining.py
+++ b/tests/mesh/test_pipelining.py
@@ -19,7 +19,7 @@
 async def ingress_and_server(system: MeshSystem) -> tuple[Machine, Machine]:
     ingress = await system.add("front")
     server = await system.add("shop", slots=20)
-    system.introduce_all()
+    system.merge_all_peers()
     system.publish(1, RouteOptions("shop"))
     await system.until_configured(1)
     return ingress, server
--- a/tests/mesh/test_silent_node.py
+++ b/tests/mesh/test_silent_node.py
@@ -55,7 +55,7 @@
 async def ingress_and_server(system: MeshSystem) -> tuple[Machine, Machine]:
     ingress = await system.add("front")
     server = await system.add("shop", data_centre="two")
-    system.introduce_all()
+    system.merge_all_peers()
     system.publish(1, ROUTE)
     await system.until_configured(1)
     return ingress, server
@@ -132,7 +132,7 @@
     server, stall, asked = await ask_a_node_that_stands_still(system)
     other = await system.add("shop", data_centre="three")
     other.backend.fault = Fault.SHED
-    system.introduce_all()
+    system.merge_all_peers()
     await until(lambda: len(other.backend.arrivals) > 0)
     stall.over.set()
     assert (await asked)[0] == 200
@@ -144,7 +144,7 @@
 ) -> None:
     _, stall, asked = await ask_a_node_that_stands_still(system)
     other = await system.add("shop", data_centre="three")
-    system.introduce_all()
+    system.merge_all_peers()
     assert (await asked)[0] == 200
     assert len(other.backend.runs) == 1
     stall.over.set()
@@ -156,8 +156,8 @@
 ) -> None:
     server, stall, asked = await ask_a_node_that_stands_still(system)
     other = await system.add("shop", data_centre="three")
-    other.backend.go_on.clear()
-    system.introduce_all()
+    other.backend.may_finish.clear()
+    system.merge_all_peers()
     await until(lambda: other.backend.running > 0)
     stall.over.set()
     assert (await asked)[0] == 200
@@ -203,7 +203,7 @@
     others = [await system.add("shop", data_centre=f"dc-{number}") for number in range(2)]
     for other in others:
         other.backend.fault = Fault.ERROR
-    system.introduce_all()
+    system.merge_all_peers()
     await until(lambda: sum(len(other.backend.runs) for other in others) > 0)
     stall.over.set()
     assert (await asked)[0] == 200
--- a/tests/mesh/test_store_calls.py
+++ b/tests/mesh/test_store_calls.py
@@ -43,7 +43,7 @@
     system.readers_per_data_centre = 1
     for _ in range(nodes):
         await system.add("shop")
-    system.introduce_all()
+    system.merge_all_peers()
     system.publish(1, RouteOptions("shop"))
     await system.until_configured(1)
     # Reads that began before the nodes knew each other end with a change.
@@ -123,7 +123,7 @@
     for machine in system.machines:
         machine.crash()
     system.machines = [follower]
-    await system.start_again(follower)
+    await system.restart(follower)
     await system.until_configured(2)
     (read,) = system.log.named("configuration_read_at_start")
     assert read["why"] == "no reader takes connections"
@@ -170,7 +170,7 @@
     system.readers_per_data_centre = 1
     for number in range(36):
         await system.add("shop", data_centre=f"dc-{number % 3}")
-    system.introduce_all()
+    system.merge_all_peers()
     system.publish(1, RouteOptions("shop"))
     await system.until_configured(1)
     new = await system.add("shop", data_centre="dc-0")
--- a/tests/mesh/test_store_era.py
+++ b/tests/mesh/test_store_era.py
@@ -42,7 +42,7 @@
     system.readers_per_data_centre = 2
     for _ in range(nodes):
         await system.add("shop")
-    system.introduce_all()
+    system.merge_all_peers()
     system.publish(1, RouteOptions("shop"))
     await system.until_configured(1)
 
--- a/tests/mesh/test_store_readers.py
+++ b/tests/mesh/test_store_readers.py
@@ -29,7 +29,7 @@
     system.readers_per_data_centre = READERS
     for _ in range(NODES):
         await system.add("shop")
-    system.introduce_all()
+    system.merge_all_peers()
     system.publish(1, RouteOptions("shop"))
     await system.until_configured(1)
     readers = [m for m in system.machines if not m.node._watch._readers.to_ask()]
@@ -70,5 +70,5 @@
 async def test_nodes_of_another_data_centre_are_not_asked(system: MeshSystem) -> None:
     await one_data_centre(system)
     far = await system.add("shop", data_centre="two")
-    system.introduce_all()
+    system.merge_all_peers()
     assert far.node._watch._readers.to_ask() == []
--- a/tests/mesh/test_suspension.py
+++ b/tests/mesh/test_suspension.py
@@ -38,7 +38,7 @@
     suspend = suspender(monkeypatch)
     ingress = await system.add("front")
     shop = await system.add("shop", slots=1)
-    system.introduce_all()
+    system.merge_all_peers()
     system.publish(1, RouteOptions("shop", timeout=30.0, target=20.0))
     await system.until_configured(1)
     shop.backend.fault = Fault.HANG
@@ -52,7 +52,7 @@
     assert all(status in (503, 504) for status, _, _ in answers)
     assert len(shop.backend.arrivals) == 1
     shop.backend.fault = Fault.NONE
-    assert await shop.beat() == 200
+    assert await shop.send_heartbeat() == 200
     await until(lambda: shop.node.link.gate.running == 0)
     status, _, _ = await system.call(ingress, "/x", deadline_ms=20_000, timeout=300.0)
     assert status == 200
--- a/tests/mesh/test_suspicion.py
+++ b/tests/mesh/test_suspicion.py
@@ -34,7 +34,7 @@
     ingresses = [await system.add("front") for _ in range(5)]
     staying = await system.add("shop")
     leaving = await system.add("shop", data_centre=data_centre)
-    system.introduce_all()
+    system.merge_all_peers()
     system.publish(1, RouteOptions("shop"))
     await system.until_configured(1)
     leaving.crash()
@@ -61,7 +61,7 @@
         now = asyncio.get_running_loop().time()
         found.note(leaving.node.directory.me.node, now, reached=False)
     await until(lambda: all(view_of(e, leaving).suspected for e in ingresses))
-    await system.start_again(leaving)
+    await system.restart(leaving)
     ingresses[0].node._hop.probe(view_of(ingresses[0], leaving))
     await until(lambda: not any(view_of(e, leaving).suspected for e in ingresses))
     assert view_of(ingresses[1], leaving).closed_until <= asyncio.get_running_loop().time()
@@ -85,7 +85,7 @@
         now = asyncio.get_running_loop().time()
         found.note(leaving.node.directory.me.node, now, reached=False)
     await until(lambda: all(view_of(e, leaving).suspected for e in ingresses))
-    await system.start_again(leaving)
+    await system.restart(leaving)
     await until(lambda: not any(view_of(e, leaving).suspected for e in ingresses))
 
 
@@ -94,7 +94,7 @@
     # Each alone in its data centre, so that nobody asks but as told here.
     names = ("finder", "other", "first", "second", "reader", "gone")
     machines = {name: await system.add("shop", data_centre=name) for name in names}
-    system.introduce_all()
+    system.merge_all_peers()
     gone = machines.pop("gone")
     gone.crash()
     system.machines.remove(gone)
@@ -122,7 +122,7 @@
     monkeypatch.setattr(peer_sync, "MAX_HOLD_SECONDS", 60.0)
     names = ("finder", "other", "reader", "gone")
     machines = {name: await system.add("shop", data_centre=name) for name in names}
-    system.introduce_all()
+    system.merge_all_peers()
     gone = machines["gone"]
     gone.crash()
     system.machines.remove(gone)
--- a/tests/mesh/test_team_keys.py
+++ b/tests/mesh/test_team_keys.py
@@ -27,7 +27,7 @@
 async def ingress_and_server(system: MeshSystem) -> tuple[Machine, Machine]:
     ingress = await system.add("front")
     server = await system.add("shop")
-    system.introduce_all()
+    system.merge_all_peers()
     system.publish(1, *ROUTES, teams=[PORT, FERRY])
     await system.until_configured(1)
     return ingress, server
@@ -117,7 +117,7 @@
 async def test_a_faulty_team_is_told_of_and_the_rest_holds(system: MeshSystem) -> None:
     ingress = await system.add("front")
     await system.add("shop")
-    system.introduce_all()
+    system.merge_all_peers()
     thief = TeamOptions("thief", ("port-new", ""))
     system.publish(1, *ROUTES, teams=[PORT, FERRY, thief])
     await system.until_configured(1)
@@ -133,7 +133,7 @@
 ) -> None:
     ingress = await system.add("front")
     server = await system.add("shop")
-    system.introduce_all()
+    system.merge_all_peers()
     system.publish(1, *ROUTES)
     await system.until_configured(1)
     assert (await system.call(ingress, key="the application's own"))[0] == 200
--- a/tests/mesh/test_team_quota.py
+++ b/tests/mesh/test_team_quota.py
@@ -28,7 +28,7 @@
     system.teams = TEAMS
     ingresses = [await system.add("front") for _ in range(3)]
     server = await system.add("shop", slots=100)
-    system.introduce_all()
+    system.merge_all_peers()
     system.publish(1, RouteOptions("shop"), teams=[port, OTHER])
     await system.until_configured(1)
     # Nodes that have just started do not know what was given out before.
--- a/tests/process/test_processes.py
+++ b/tests/process/test_processes.py
@@ -12,8 +12,8 @@
 
 from hoisthook.rpc import operator_pb2 as pb
 from standin.cluster import Cluster
+from standin.cluster import Instance
 from standin.cluster import Options
-from standin.cluster import Place
 from standin.cluster import operator_call
 from standin.cluster import post_json
 from standin.cluster import stop
@@ -35,13 +35,13 @@
         self.cluster = cluster
         self.session = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=20))
 
-    async def key(self, place: Place) -> str:
+    async def key(self, instance: Instance) -> str:
         headers = {"hoisthook-service": SERVICE}
-        async with self.session.post(f"{place.url}/hoisthook/keys", headers=headers) as answer:
+        async with self.session.post(f"{instance.url}/hoisthook/keys", headers=headers) as answer:
             return (await answer.text()).strip()
 
     async def send(
-        self, place: Place, name: str, *, key: str | None = None, work_ms: float = 1.0
+        self, instance: Instance, name: str, *, key: str | None = None, work_ms: float = 1.0
     ) -> tuple[str, str]:
         """Return the result header's number and whether it ran; "broken" where it broke."""
         headers = {"hoisthook-service": SERVICE, "x-run": name, "x-work-ms": str(work_ms)}
@@ -49,7 +49,7 @@
             headers["idempotency-key"] = key
         method = "GET" if key is None else "POST"
         try:
-            async with self.session.request(method, f"{place.url}/x", headers=headers) as answer:
+            async with self.session.request(method, f"{instance.url}/x", headers=headers) as answer:
                 await answer.read()
                 result = answer.headers.get("hoisthook-result", "").split(" ")[0]
                 return result, answer.headers.get("hoisthook-ran", "")
@@ -58,8 +58,8 @@
 
     async def runs(self, name: str) -> int:
         count = 0
-        for place in self.cluster.of(SERVICE):
-            async with self.session.get(f"{place.backend_url}/_runs") as answer:
+        for instance in self.cluster.of(SERVICE):
+            async with self.session.get(f"{instance.backend_url}/_runs") as answer:
                 count += (await answer.json())["runs"].count(name)
         return count
 
@@ -73,27 +73,27 @@
         yield caller
     finally:
         await caller.session.close()
-        for place in cluster.places:
-            for process in (place.node_process, place.backend_process):
+        for instance in cluster.instances:
+            for process in (instance.node_process, instance.backend_process):
                 if process is not None and process.returncode is None:
                     process.send_signal(signal.SIGCONT)
         await cluster.close()
 
 
-def kill(place: Place, number: signal.Signals) -> None:
-    assert place.node_process is not None
-    place.node_process.send_signal(number)
+def kill(instance: Instance, number: signal.Signals) -> None:
+    assert instance.node_process is not None
+    instance.node_process.send_signal(number)
 
 
-async def running_place(caller: Caller, name: str) -> Place:
+async def running_place(caller: Caller, name: str) -> Instance:
     """Return where a request now runs."""
-    found: list[Place] = []
+    found: list[Instance] = []
 
     async def runs_somewhere() -> bool:
-        for place in caller.cluster.of(SERVICE):
-            async with caller.session.get(f"{place.backend_url}/_runs") as answer:
+        for instance in caller.cluster.of(SERVICE):
+            async with caller.session.get(f"{instance.backend_url}/_runs") as answer:
                 if name in (await answer.json())["runs"]:
-                    found.append(place)
+                    found.append(instance)
         return bool(found)
 
     await wait_until(runs_somewhere)
@@ -108,8 +108,8 @@
     sending = asyncio.ensure_future(caller.send(ingress, "once", key=key, work_ms=800))
     kill(await running_place(caller, "once"), signal.SIGKILL)
     assert await sending == ("3001", "unknown")
-    for place in (other, ingress, other):
-        assert (await caller.send(place, "once", key=key))[1] == "unknown"
+    for instance in (other, ingress, other):
+        assert (await caller.send(instance, "once", key=key))[1] == "unknown"
     assert await caller.runs("once") == 1
 
 
@@ -127,8 +127,8 @@
         return (await caller.send(ingress, "ping"))[0] == "0"
 
     await wait_until(is_back)
-    for place in (other, ingress, other):
-        assert (await caller.send(place, "once", key=key))[1] == "unknown"
+    for instance in (other, ingress, other):
+        assert (await caller.send(instance, "once", key=key))[1] == "unknown"
     assert await caller.runs("once") == 1
 
 
@@ -142,8 +142,8 @@
     assert frozen[1] == "unknown"
     kill(ingress, signal.SIGCONT)
     await sending
-    for place in (other, ingress):
-        assert (await caller.send(place, "once", key=key))[1] in ("ran", "unknown")
+    for instance in (other, ingress):
+        assert (await caller.send(instance, "once", key=key))[1] in ("ran", "unknown")
     assert await caller.runs("once") == 1
 
 
@@ -173,11 +173,11 @@
 
 
 async def test_rolling_replacement_of_all_nodes_cuts_nothing(caller: Caller) -> None:
-    places = caller.cluster.places
+    instances = caller.cluster.instances
     busy = asyncio.Event()
     bad: list[tuple[str, str]] = []
 
-    async def keep_calling(ingress: Place) -> None:
+    async def keep_calling(ingress: Instance) -> None:
         number = 0
         while not busy.is_set():
             number += 1
@@ -189,10 +189,10 @@
 
     ingress = caller.cluster.of(INGRESS_SERVICE)[0]
     calling = [asyncio.ensure_future(keep_calling(ingress)) for _ in range(3)]
-    for place in places[1:]:
-        assert place.node_process is not None
-        assert await stop(place.node_process) == 0
-        await caller.cluster.start_node(place)
+    for instance in instances[1:]:
+        assert instance.node_process is not None
+        assert await stop(instance.node_process) == 0
+        await caller.cluster.start_node(instance)
         await caller.cluster.wait_until_known()
     busy.set()
     await asyncio.gather(*calling)
@@ -270,9 +270,9 @@
     ingress = caller.cluster.of(INGRESS_SERVICE)[0]
     for number in range(10):
         await caller.send(ingress, f"r{number}")
-    for place in caller.cluster.places:
-        assert place.node_process is not None
-        pid = place.node_process.pid
+    for instance in caller.cluster.instances:
+        assert instance.node_process is not None
+        pid = instance.node_process.pid
         threads = os.listdir(f"/proc/{pid}/task")
         assert len(threads) == 1
         with open(f"/proc/{pid}/task/{pid}/children") as children:
--- a/tests/soak/test_loopback_ports.py
+++ b/tests/soak/test_loopback_ports.py
@@ -12,7 +12,7 @@
 
 
 async def test_processes_side_by_side_are_given_no_port_twice() -> None:
-    """Guards against a node that cannot start again since another process took its port."""
+    """Guards against a node that cannot be restarted since another process took its port."""
     processes = [
         await asyncio.create_subprocess_exec(
             sys.executable,
@@ -23,11 +23,11 @@
         )
         for _ in range(3)
     ]
-    given: list[bytes] = []
+    addresses: list[bytes] = []
     for process in processes:
         assert process.stdout is not None
-        given.extend((await process.stdout.readline()).split())
+        addresses.extend((await process.stdout.readline()).split())
     for process in processes:
         await process.communicate(b"\n")
-    assert len(given) == PORTS * len(processes)
-    assert len(set(given)) == len(given)
+    assert len(addresses) == PORTS * len(processes)
+    assert len(set(addresses)) == len(addresses)
--- a/tests/soak/test_mesh_cluster.py
+++ b/tests/soak/test_mesh_cluster.py
@@ -11,53 +11,56 @@
 if TYPE_CHECKING:
     import pytest
 
-    from standin.mesh_cluster import MeshPlace
+    from standin.mesh_cluster import MeshInstance
 
 READY_SECONDS = 30.0
 
 
-async def test_start_that_was_cancelled_does_not_keep_a_place_empty() -> None:
-    """The soak ends its killing between two starts: the place must get a node all the same."""
+async def test_node_can_be_started_after_its_start_was_cancelled() -> None:
+    """Guards against a node that is never started again after its start was cancelled.
+
+    The soak test may cancel its kill loop while a node is being started.
+    """
     cluster = MeshCluster(Deployment("cluster", ("one",), {"shop": 1}, slots=1))
     await cluster.start()
     try:
-        place = cluster.places[0]
-        await cluster.kill(place)
-        start = asyncio.ensure_future(cluster.start_node(place))
-        while not place.is_starting:
+        instance = cluster.instances[0]
+        await cluster.kill(instance)
+        start = asyncio.ensure_future(cluster.start_node(instance))
+        while not instance.is_starting:
             await asyncio.sleep(0)
         start.cancel()
         await asyncio.wait([start])
         assert start.cancelled()
-        await cluster.start_node(place)
-        assert place.process is not None
-        assert place.process.returncode is None
-        await cluster.until_ready(place)
+        await cluster.start_node(instance)
+        assert instance.process is not None
+        assert instance.process.returncode is None
+        await cluster.wait_until_ready(instance)
     finally:
         await cluster.close()
 
 
-async def test_series_of_kills_that_ends_amid_a_kill_leaves_no_place_empty(
+async def test_every_node_runs_after_repeated_kills_stop_amid_a_kill(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a node that was killed, not waited for, and so taken for running."""
+    """Guards against a killed node that is taken for running since its exit was not awaited."""
     monkeypatch.setattr(soak_repeats, "KILL_SECONDS", 0.0)
     cluster = MeshCluster(Deployment("cluster", ("one",), {"shop": 2}, slots=1))
     await cluster.start()
-    kill, begun = cluster.kill, asyncio.Event()
+    kill, kill_begun = cluster.kill, asyncio.Event()
 
-    async def told(place: MeshPlace) -> None:
-        begun.set()
-        await kill(place)
+    async def notify_and_kill(instance: MeshInstance) -> None:
+        kill_begun.set()
+        await kill(instance)
 
-    monkeypatch.setattr(cluster, "kill", told)
+    monkeypatch.setattr(cluster, "kill", notify_and_kill)
     service = RejectingService(cluster, cluster.start_node, 1)
     try:
         service.start()
-        await begun.wait()
+        await kill_begun.wait()
         await service.stop()
         async with asyncio.timeout(READY_SECONDS):
-            for place in cluster.places:
-                await cluster.until_ready(place)
+            for instance in cluster.instances:
+                await cluster.wait_until_ready(instance)
     finally:
         await cluster.close()
--- a/tests/waiting.py
+++ b/tests/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting for what another task brings about."""
+"""Polls for a condition that another task brings about."""
 
 from __future__ import annotations
 
@@ -12,7 +12,13 @@
 
 
 async def until(condition: Callable[[], bool], seconds: float = 10.0) -> None:
-    """Wait until a condition holds; fail if it does not."""
+    """Wait until a condition holds.
+
+    Raises
+    ------
+    TimeoutError
+        If it does not hold within ``seconds``.
+    """
     async with asyncio.timeout(seconds):
         while not condition():
             await asyncio.sleep(POLL_SECONDS)
