--- a/standin/fault_proxy.py
+++ b/standin/fault_proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy that can delay, reset or refuse connections, or stall them in one or both directions."""
+"""A TCP proxy that can delay, reset or refuse connections, or stall one or both directions."""
 
 from __future__ import annotations
 
