--- a/src/hoisthook/experiment/modelled_hop.py
+++ b/src/hoisthook/experiment/modelled_hop.py
@@ -64,8 +64,8 @@
     ) -> None:
         now = self._clock.now()
         view.reported(node.load(), now)
-        if node.repeats.owes_for(call):
-            self._node.repeats.called_owes(call)
+        if node.repeats.is_over_budget_for(call):
+            self._node.repeats.callee_over_budget(call)
         if isinstance(outcome, Refused) and outcome.code is ResultCode.UNREACHABLE:
             view.close_until(now + outcome.retry_after)
         elif isinstance(outcome, Refused) and outcome.code is ResultCode.RETRY_BUDGET_SPENT:
--- a/src/hoisthook/experiment/modelled_node.py
+++ b/src/hoisthook/experiment/modelled_node.py
@@ -157,7 +157,7 @@
             return Refused(ResultCode.QUEUE_TIMEOUT, retry_after)
         begun = self._clock.now()
         try:
-            refused = self.repeats.arrives(call)
+            refused = self.repeats.count_or_refuse(call)
             if refused is not None:
                 return refused
             running = RunningRequest(call.request_id, call.route, call.priority, call.repeat)
--- a/src/hoisthook/local_backend/__init__.py
+++ b/src/hoisthook/local_backend/__init__.py
@@ -1,3 +1,3 @@
-"""The backend server beside a node: what it is sent, and what it answers."""
+"""The local backend server: requests sent to it, its answers, and its crashes."""
 
 from __future__ import annotations
--- a/src/hoisthook/local_backend/admission_lines.py
+++ b/src/hoisthook/local_backend/admission_logger.py
@@ -1,4 +1,4 @@
-"""What the log says about admission beside a backend server."""
+"""Log records of admission decisions at the local backend server."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
     from hoisthook.port.event_log import EventLog
 
 
-class AdmissionLines:
-    """Writes what a decision about a request rested on.
+class AdmissionLogger:
+    """Logs admission decisions together with the state on which they were based.
 
     Parameters
     ----------
     gate : PriorityGate
-        Slots and those that wait.
+        Slots of the backend server and the queue for them.
     speed : ServerSpeed
-        How long work takes.
+        Expected service times and slow periods of the backend server.
     observed_backend : ObservedBackend
         State of the backend server.
     clock : Clock
         Monotonic.
     log : EventLog
-        Gets the lines.
+        Receives the records.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         self._log = log
 
     def admitted(self, call: RoutedCall, admitted_request: AdmittedRequest) -> None:
-        """Note that a request got a slot."""
+        """Log that a request got a slot."""
         now = self._clock.now()
         slow_periods = self._speed.slow_periods
         self._log.decision(
@@ -66,7 +66,7 @@
         )
 
     def refused(self, call: RoutedCall, admission: Admission, refused: Refused) -> None:
-        """Note that a request got none."""
+        """Log that a request was rejected."""
         now = self._clock.now()
         self._log.decision(
             "not_admitted",
--- a/src/hoisthook/local_backend/backend_exchange.py
+++ b/src/hoisthook/local_backend/backend_exchange.py
@@ -1,4 +1,4 @@
-"""Sends admitted requests to the backend server beside, and learns from its answers."""
+"""Sends admitted requests to the local backend server and records the result."""
 
 from __future__ import annotations
 
@@ -38,23 +38,24 @@
     from hoisthook.port.event_log import EventLog
 
 FAILURE_STATUS = 500
-# A request whose connection drops within this share of its usual work time was not worked on.
+# A connection that breaks within this share of the expected service time was dropped before the
+# backend server worked on the request.
 DROPPED_SHARE_OF_WORK = 0.1
 REPLACED_RETRY_SECONDS = 0.02
-# Enough to find the work in a log of requests.
+# Enough of a target to find the request in an access log.
 MAX_LOGGED_TARGET = 120
 
 
 @dataclass(frozen=True, slots=True)
 class ExchangeResult:
-    """What became of a request that was admitted.
+    """Outcome of a request that was admitted.
 
     Attributes
     ----------
     outcome : CompleteAnswer, Refused or Lost
-        The last word.
+        The answer, or why there is none.
     seconds : float
-        How long that took.
+        Time from sending the request to its outcome; 0 if it was not sent.
     """
 
     outcome: Outcome
@@ -62,28 +63,28 @@
 
 
 class BackendExchanges:
-    """One request and its answer at a time on each connection to the backend server.
+    """Exchanges with the backend server, one request at a time on each connection.
 
     Parameters
     ----------
     address : Address
-        Where it listens.
+        Where the backend server listens.
     wire : BackendWire
-        How it is spoken to.
+        Protocol of the backend server.
     pool : ClientPool
-        Connections to it.
+        Connections to the backend server.
     observed_backend : ObservedBackend
-        Told of answers and losses.
+        Notified of answers and lost requests.
     speed : ServerSpeed
-        Told of its load.
+        Notified of the reported slowdown.
     running : RunningRequests
-        Told of what runs there.
+        Notified of requests that start and end there, and of the reported load.
     exit_detector : ExitDetector
-        Told of what was lost there, and of answers.
+        Notified of lost requests and of answers.
     clock : Clock
-        Monotonic, the loop's own.
+        Monotonic, the event loop's own.
     log : EventLog
-        Gets a line for each answer and each loss.
+        Receives a record of each answer and each lost request.
     """
 
     def __init__(
@@ -109,7 +110,7 @@
         self._log = log
 
     async def connect(self) -> ClientConnection | Refused:
-        """Return a connection, or why there is none."""
+        """Return an open connection, or a refusal if none can be opened."""
         connection = self._pool.take_idle(self._address)
         if connection is not None:
             return connection
@@ -127,18 +128,18 @@
         admitted_request: AdmittedRequest,
         sent: Callable[[], None],
     ) -> ExchangeResult:
-        """Send a request and take in its answer.
+        """Send a request and process its answer.
 
         Parameters
         ----------
         call : RoutedCall
-            Admitted.
+            Request that was admitted.
         connection : ClientConnection
-            Idle.
+            Idle connection to the backend server.
         admitted_request : AdmittedRequest
-            What it was admitted to.
+            Slot and expected service time of the request.
         sent : callable
-            Told when it goes out.
+            Called just before the request is sent.
         """
         started = self._clock.now()
         reused = connection.exchanges > 0
@@ -148,15 +149,15 @@
             return ExchangeResult(Refused(ResultCode.DEADLINE_PASSED, 0.0))
         sent()
         instance = self._observed_backend.instance
-        answered = await self._exchange(call, connection, time_left)
+        answer = await self._exchange(call, connection, time_left)
         seconds = self._clock.now() - started
-        if isinstance(answered, Lost):
-            at_once = seconds < DROPPED_SHARE_OF_WORK * admitted_request.work
-            self._note_lost(call, answered, instance, seconds, at_once=at_once, reused=reused)
-            return ExchangeResult(answered, seconds)
+        if isinstance(answer, Lost):
+            is_dropped = seconds < DROPPED_SHARE_OF_WORK * admitted_request.work
+            self._record_lost(call, answer, instance, seconds, is_dropped=is_dropped, reused=reused)
+            return ExchangeResult(answer, seconds)
         self._pool.keep(self._address, connection)
         self._exit_detector.answered(instance, started)
-        head, body = answered
+        head, body = answer
         outcome = self._read_answer(call, head, body)
         self._log.decision(
             "backend_answered",
@@ -170,34 +171,34 @@
     async def _exchange(
         self, call: RoutedCall, connection: ClientConnection, time_left: float
     ) -> tuple[AnswerHead, bytes] | Lost:
-        added = self._wire.added_headers(
+        added_headers = self._wire.added_headers(
             BackendRequestHead(
                 self._observed_backend.instance, call.caller_service, time_left, call.team
             )
         )
-        running = RunningRequest(call.request_id, call.route, call.priority, call.repeat)
-        self._running.begin(running)
+        running_request = RunningRequest(call.request_id, call.route, call.priority, call.repeat)
+        self._running.begin(running_request)
         try:
             return await exchange_buffered(
                 connection,
                 call.method,
                 call.target,
-                [*call.headers, *added],
+                [*call.headers, *added_headers],
                 call.body,
                 timeout=time_left,
                 accepts=lambda head: self._wire.answers(head, call.request_id),
             )
         finally:
-            self._running.end(running)
+            self._running.end(running_request)
 
-    def _note_lost(
+    def _record_lost(
         self,
         call: RoutedCall,
         lost: Lost,
         instance: InstanceId | None,
         seconds: float,
         *,
-        at_once: bool,
+        is_dropped: bool,
         reused: bool,
     ) -> None:
         self._log.decision(
@@ -212,16 +213,16 @@
             bytes=len(call.body),
         )
         if lost.code is not ResultCode.DEADLINE_DURING_RUN:
-            self._note_broken(at_once=at_once, reused=reused)
+            self._record_broken_connection(is_dropped=is_dropped, reused=reused)
             if instance is not None:
                 lost_request = LostRequest(call.request_id, call.work, instance, self._clock.now())
                 self._exit_detector.broken(lost_request)
 
-    def _note_broken(self, *, at_once: bool, reused: bool) -> None:
-        if not at_once:
+    def _record_broken_connection(self, *, is_dropped: bool, reused: bool) -> None:
+        if not is_dropped:
             self._observed_backend.answered(failed=True)
         elif reused:
-            # It has let go of this idle connection, and so perhaps of the others.
+            # The server had closed this idle connection, and may have closed the others too.
             self._pool.forget(self._address)
         else:
             self._observed_backend.dropped(self._clock.now())
--- a/src/hoisthook/local_backend/crash_monitor.py
+++ b/src/hoisthook/local_backend/crash_monitor.py
@@ -1,4 +1,4 @@
-"""Holds the ends of the backend server beside against the work that ran in it."""
+"""Attributes crashes of the local backend server to the work it was executing."""
 
 from __future__ import annotations
 
@@ -19,43 +19,44 @@
     from hoisthook.port.clock import Clock
     from hoisthook.retry.crash_evidence import CrashEvidence
 
-# Good runs of larger bodies are remembered only while something is held against work of the
-# service: the identity of a request takes 4 microseconds, and 2.4 ms for each MB of its body.
+# Successful requests with larger bodies are recorded only while some work of the service is
+# suspected: computing a work id takes 4 microseconds, plus 2.4 ms for each MB of body.
 MAX_REMEMBERED_BYTES = 16_384
 
 
-class KnownWork(Protocol):
-    """A request, as far as its work is concerned."""
+class WorkRequest(Protocol):
+    """The parts of a request that identify its work."""
 
     @property
     def body(self) -> bytes:
-        """Return what is there of its body."""
+        """Return the part of the body that has been received."""
 
     @property
     def is_complete(self) -> bool:
-        """Return whether that is all of it."""
+        """Return whether the whole body has been received."""
 
     @property
     def work(self) -> WorkId:
-        """Return what it asks for."""
+        """Return the id of the work that it asks for."""
 
 
 class CrashMonitor:
-    """Reports work under which the backend server beside ended, and refuses what ended several.
+    """Records crashes of the local backend server and rejects work that has caused several.
 
     Parameters
     ----------
     service : ServiceName
-        Of the backend server beside.
+        Service of the local backend server.
     evidence : CrashEvidence
-        What all nodes of the service know.
+        Crash reports shared by all nodes of the service.
     clock : Clock
         Monotonic.
 
     Attributes
     ----------
     service : ServiceName
-        May be known only once the backend server has announced itself.
+        Service of the local backend server; on some nodes it is set only once the backend server
+        has announced itself.
     """
 
     def __init__(self, service: ServiceName, evidence: CrashEvidence, clock: Clock) -> None:
@@ -63,44 +64,47 @@
         self._evidence = evidence
         self._clock = clock
         self._successful_runs = SuccessfulRuns()
-        self._blamed: set[WorkId] = set()
+        self._crashed_under: set[WorkId] = set()
         self._listeners: list[Callable[[], None]] = []
 
-    def on_reported(self, listener: Callable[[], None]) -> None:
-        """Have ``listener`` called once an end has been held against work."""
+    def on_crash_attributed(self, listener: Callable[[], None]) -> None:
+        """Register ``listener`` to be called after a crash has been attributed to work."""
         self._listeners.append(listener)
 
-    def has_blamed(self, work: WorkId) -> bool:
-        """Return whether the backend server beside has ended under some work."""
-        return work in self._blamed
+    def has_crashed_under(self, work: WorkId) -> bool:
+        """Return whether the local backend server has crashed while it executed some work."""
+        return work in self._crashed_under
 
-    def ended(self, lost: list[LostRequest]) -> None:
-        """Take in what ran in the backend server as it ended."""
+    def ended(self, lost_requests: list[LostRequest]) -> None:
+        """Attribute a crash to the requests that the backend server was executing.
+
+        Work that the same incarnation has already executed successfully is left out.
+        """
         now = self._clock.now()
-        blamed = [run for run in lost if run.work not in self._successful_runs]
-        if len(self._blamed) > MAX_WORKS:
-            self._blamed.clear()
-        self._blamed.update(run.work for run in blamed)
-        for run in blamed:
-            self._evidence.ended(self.service, run.work, run.instance, now)
-        self._successful_runs.forget()
-        if blamed:
+        suspects = [lost for lost in lost_requests if lost.work not in self._successful_runs]
+        if len(self._crashed_under) > MAX_WORKS:
+            self._crashed_under.clear()
+        self._crashed_under.update(lost.work for lost in suspects)
+        for lost in suspects:
+            self._evidence.ended(self.service, lost.work, lost.instance, now)
+        self._successful_runs.clear()
+        if suspects:
             for listener in self._listeners:
                 listener()
 
-    def ran_well(self, call: KnownWork) -> None:
-        """Take in that a request has run to a good end."""
+    def request_succeeded(self, call: WorkRequest) -> None:
+        """Record that a request was executed successfully."""
         is_large = len(call.body) > MAX_REMEMBERED_BYTES
         if is_large and not self._evidence.suspects(self.service):
             return
-        self._successful_runs.note(call.work)
+        self._successful_runs.add(call.work)
         self._evidence.ran_well(self.service, call.work, self._clock.now())
 
-    def refuse(self, call: KnownWork) -> Refused | None:
-        """Refuse a request that asks for work under which several backend servers ended.
+    def refuse(self, call: WorkRequest) -> Refused | None:
+        """Return a refusal if several backend servers have crashed under the request's work.
 
-        What cannot run without harm is refused before it has a slot: it would take the server and
-        all that runs there with it.
+        Such a request is rejected before it gets a slot, since it would crash the backend server
+        together with all other requests running there.
         """
         if not call.is_complete or not self._evidence.suspects(self.service):
             return None
--- a/src/hoisthook/local_backend/exit_detector.py
+++ b/src/hoisthook/local_backend/exit_detector.py
@@ -1,4 +1,4 @@
-"""Tells a backend server that ended from one that dropped a connection."""
+"""Distinguishes an exit of the backend server from a dropped connection."""
 
 from __future__ import annotations
 
@@ -19,29 +19,29 @@
     from hoisthook.port.clock import Clock
     from hoisthook.port.event_sink import EventSink
 
-# On the same instance a connection takes about a millisecond.
+# A connection within the same instance takes about a millisecond.
 CONNECT_SECONDS = 0.1
-# A backend server that ended is back, under another incarnation, within some seconds; one that
-# has said nothing else by then has dropped the connection for a reason of its own.
+# A backend server that exited is restarted within seconds, as another incarnation. If none has
+# appeared by then, the connection was dropped for another reason.
 PENDING_SECONDS = 10.0
-# More than any backend server runs at once.
+# Larger than the number of requests that a backend server executes at once.
 MAX_PENDING = 256
 
 
 @dataclass(frozen=True, slots=True)
 class LostRequest:
-    """A request whose connection to the backend server broke while it ran.
+    """A request whose connection to the backend server broke during its execution.
 
     Attributes
     ----------
     request_id : RequestId
-        The caller's.
+        Id given by the caller.
     work : WorkId
-        What it asked for.
+        Id of the work that it asked for.
     instance : InstanceId
-        The incarnation that ran it.
+        Incarnation that executed it.
     at : float
-        When the connection broke, on the node's clock.
+        Time at which the connection broke, on the node's clock.
     """
 
     request_id: RequestId
@@ -51,24 +51,24 @@
 
 
 class ExitDetector:
-    """Holds the requests lost lately until it is known whether their backend server ended.
+    """Keeps recently lost requests until it is known whether their backend server exited.
 
-    It has ended if no connection to it can be opened, or if another incarnation takes its place;
-    it has not if the same one answers. One that was about to leave ends as planned, and what ran
-    in it is not to blame.
+    The backend server has exited if no connection to it can be opened, or if another incarnation
+    replaces it. It has not if the same incarnation answers a later request. The exit of a backend
+    server that was draining is planned, so its requests are not recorded.
 
     Parameters
     ----------
     address : callable
-        Returns the backend server's.
+        Returns the address of the backend server.
     pool : ClientPool
-        Connections to it.
+        Connections to the backend server.
     takes_work : callable
-        Returns whether it was to take work.
+        Returns whether the backend server takes new requests; False while it drains.
     clock : Clock
         Monotonic.
     log : EventSink
-        Gets a line for each end.
+        Receives a record of each exit.
     """
 
     def __init__(
@@ -89,16 +89,16 @@
         self._checks = BackgroundTasks()
         self._is_checking = False
 
-    def on_ended(self, listener: Callable[[list[LostRequest]], None]) -> None:
-        """Have ``listener`` told what ran in a backend server that ended."""
+    def on_exit(self, listener: Callable[[list[LostRequest]], None]) -> None:
+        """Register ``listener`` for the requests lost at each exit of a backend server."""
         self._listeners.append(listener)
 
     def close(self) -> None:
-        """Stop the check that is under way."""
+        """Cancel the connection check in progress."""
         self._checks.close()
 
     def broken(self, lost: LostRequest) -> None:
-        """Note that a request's connection broke while it ran."""
+        """Record that a connection broke during the execution of a request."""
         self._pending = self._recent()
         if not self._takes_work() or len(self._pending) >= MAX_PENDING:
             return
@@ -108,10 +108,10 @@
             self._checks.start(self._check())
 
     def answered(self, instance: InstanceId | None, sent_at: float) -> None:
-        """Note that an incarnation answered what was sent to it at some moment.
+        """Record that an incarnation answered a request sent at ``sent_at``.
 
-        What was lost before has not ended it; an answer to something sent earlier may have been
-        on its way as it ended.
+        Requests lost before then did not make it exit. Those lost later stay pending, as the
+        answer may have been in transit when the backend server exited.
         """
         if self._pending:
             self._pending = [
@@ -119,15 +119,15 @@
             ]
 
     def replaced(self) -> None:
-        """Note that another incarnation has taken the place of one."""
-        self._ended("replaced")
+        """Record that another incarnation has replaced the previous one."""
+        self._report_exit("replaced")
 
     async def _check(self) -> None:
         address = self._address()
         try:
             connection = await self._pool.open(address, CONNECT_SECONDS)
         except UnreachableError:
-            self._ended("unreachable")
+            self._report_exit("unreachable")
         else:
             self._pool.keep(address, connection)
         finally:
@@ -137,17 +137,17 @@
         since = self._clock.now() - PENDING_SECONDS
         return [lost for lost in self._pending if lost.at >= since]
 
-    def _ended(self, how: str) -> None:
-        ended = self._recent()
+    def _report_exit(self, how: str) -> None:
+        lost_requests = self._recent()
         self._pending = []
-        if not ended:
+        if not lost_requests:
             return
         self._log.event(
             "backend_ended",
-            instance=ended[0].instance,
+            instance=lost_requests[0].instance,
             how=how,
-            requests=[lost.request_id for lost in ended],
-            work=[lost.work for lost in ended],
+            requests=[lost.request_id for lost in lost_requests],
+            work=[lost.work for lost in lost_requests],
         )
         for listener in self._listeners:
-            listener(ended)
+            listener(lost_requests)
--- a/src/hoisthook/local_backend/link_settings.py
+++ b/src/hoisthook/local_backend/link_settings.py
@@ -1,4 +1,4 @@
-"""How the backend server beside is used."""
+"""Settings for the use of the local backend server."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkSettings:
-    """How the backend server beside is used.
+    """Limits on the use of the local backend server.
 
     Attributes
     ----------
     usable_share : float
-        Share of its slots that is used; beyond it work there slows down.
+        Share of the announced slots that is used; above it requests slow each other down.
     cold_factor, cold_extra : float
-        How many times its rate, and how many requests besides, a cold backend server may get in
-        any second; a factor of 0 stands for no bound.
+        Multiple of the operators' rate for a cold backend server, and a fixed number of requests
+        added to it, that may be sent in any second; a factor of 0 means no limit.
     """
 
     usable_share: float
@@ -23,7 +23,7 @@
     cold_extra: float = 0.0
 
     def cold_bound(self, per_second: float | None) -> int | None:
-        """Return how many requests a cold server may get in a second; None for any number."""
+        """Return the number of requests per second for a cold server; None for no limit."""
         if per_second is None or self.cold_factor <= 0:
             return None
         return int(per_second * self.cold_factor + self.cold_extra)
--- a/src/hoisthook/local_backend/repeat_limit.py
+++ b/src/hoisthook/local_backend/repeat_limit.py
@@ -1,4 +1,4 @@
-"""Admits repeats at the backend server beside, within the budget of its service."""
+"""Admits repeats at the local backend server within the repeat budget of its service."""
 
 from __future__ import annotations
 
@@ -23,32 +23,34 @@
     from hoisthook.retry.arrival_budget import RetrySettings
     from hoisthook.retry.idle_tracker import IdleObservation
 
-# Other nodes send no repeats for this long at most; requests that come meanwhile open sooner.
-MAX_CLOSED_SECONDS = 0.25
-MIN_CLOSED_SECONDS = 0.02
-# For how long no repeat begins that would make calls to a service that owes. Those that run already
-# make theirs meanwhile; its nodes tell again with each answer.
-HELD_SECONDS = 1.0
-# A route of which callers send less than this is one of calls.
-CALLED_SHARE = 0.5
+# Bounds of the retry-after sent to other nodes, which send no repeats until then. The upper bound
+# is low because new requests add to the budget and may allow a repeat earlier.
+MAX_RETRY_AFTER_SECONDS = 0.25
+MIN_RETRY_AFTER_SECONDS = 0.02
+# How long repeats are paused after a call to a service that is over its repeat budget. Repeats that
+# already run make their calls during the pause, and each answer of that service renews it.
+REPEAT_PAUSE_SECONDS = 1.0
+# A route that gets a smaller share of its requests from callers counts as one for calls.
+MIN_CALLER_SHARE = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class RepeatStatus:
-    """What a node adds to the sum of its service.
+    """Repeat counters of one node, which operators add up over the nodes of the service.
 
     Attributes
     ----------
     arrived : float
-        Repeats since the start, calls of repeated runs by their chance of being one.
+        Repeats since the start of the node. A call counts by the probability that a repeat made
+        it.
     requests : float
-        Requests of callers that were counted since the start.
+        Estimated number of callers' requests since the start of the node.
     part : float
-        This node's of the fixed number.
+        This node's part of the fixed number of repeats in a window.
     level : float
-        Repeats that it may admit now; below 0 what is owed.
+        Repeats that the node may admit now; negative while it is over its budget.
     nodes : int
-        By which the fixed number is divided; 0 while they are not known.
+        Number of nodes that share the fixed number; 0 while it is not known.
     """
 
     arrived: float
@@ -59,22 +61,22 @@
 
 
 class ServiceNodes(Protocol):
-    """Who shares the budget."""
+    """The nodes that share the repeat budget of a service."""
 
     @property
     def digest(self) -> int:
-        """Return a number that changes with the nodes that are known."""
+        """Return a number that changes whenever the set of known nodes changes."""
 
     @property
     def is_complete(self) -> bool:
-        """Return whether all nodes are known that were registered."""
+        """Return whether all registered nodes are known."""
 
     def nodes_of_own_service(self) -> list[NodeId]:
-        """Return the nodes beside backend servers of this node's service, itself included."""
+        """Return the nodes with a backend server of this node's service, itself included."""
 
 
-class Try(Protocol):
-    """A request on its way to the backend server."""
+class ArrivingRequest(Protocol):
+    """A request that has arrived for the backend server."""
 
     request_id: RequestId
     route: RouteName
@@ -84,20 +86,22 @@
 
 
 class RepeatLimit:
-    """Decides on repeats where they arrive: all requests for a backend server pass its node.
+    """Admits or rejects the repeats that arrive at one backend server.
+
+    The node of a backend server decides, since all requests for the backend server pass it.
 
     Parameters
     ----------
     node : NodeId
-        This one.
+        Id of this node.
     nodes : ServiceNodes
-        Who shares the budget.
+        Nodes that share the budget.
     settings : RetrySettings
-        The budget of the service.
+        Repeat budget of the service.
     clock : Clock
         Monotonic.
     log : EventLog
-        Gets a line for each repeat.
+        Receives a record of each repeat.
     """
 
     def __init__(
@@ -114,88 +118,94 @@
         self._clock = clock
         self._log = log
         self._budget = ArrivalBudget(settings, clock.now())
-        self._callers = CallerShares()
-        self._shared_by = 0
+        self._caller_shares = CallerShares()
+        self._node_count = 0
         self._arrived = 0.0
         self._requests = 0.0
-        self._seen: tuple[int, bool] | None = None
-        self._held_until = -math.inf
+        self._membership: tuple[int, bool] | None = None
+        self._paused_until = -math.inf
 
     def refresh(self) -> None:
-        """Divide the fixed number among the nodes that are known now; begins to accrue by it."""
-        seen = (self._nodes.digest, self._nodes.is_complete)
-        if seen == self._seen:
+        """Recompute this node's part of the budget if the known nodes have changed.
+
+        The part is 0, so that no tokens accrue from it, until all nodes are known.
+        """
+        membership = (self._nodes.digest, self._nodes.is_complete)
+        if membership == self._membership:
             return
-        self._seen = seen
+        self._membership = membership
         nodes = self._nodes.nodes_of_own_service() if self._nodes.is_complete else []
-        self._shared_by = len(nodes)
+        self._node_count = len(nodes)
         part = part_of(self._settings.extra, self._node, nodes) if nodes else 0.0
         self._budget.has_part(part, self._clock.now())
 
-    def refuse(self, call: Try) -> Refused | None:
-        """Refuse a repeat that has no room in the budget."""
+    def refuse(self, call: ArrivingRequest) -> Refused | None:
+        """Return a refusal for a repeat that exceeds the budget; None for any other request."""
         self.refresh()
         if not call.arrival.is_repeat:
             return None
         now = self._clock.now()
-        held = self._held_until - now
-        if held <= 0 and self._budget.allows(call.arrival, now):
+        pause_left = self._paused_until - now
+        if pause_left <= 0 and self._budget.allows(call.arrival, now):
             return None
-        self._tell(call, now, granted=False)
-        opens_in = max(held, self._budget.opens_in(call.arrival, now))
-        retry_after = min(MAX_CLOSED_SECONDS, max(MIN_CLOSED_SECONDS, opens_in))
+        self._log_decision(call, now, granted=False)
+        seconds = max(pause_left, self._budget.opens_in(call.arrival, now))
+        retry_after = min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, seconds))
         return Refused(ResultCode.RETRY_BUDGET_SPENT, retry_after)
 
-    def arrives(self, call: Try) -> Refused | None:
-        """Count a try that is about to be sent, or refuse it.
+    def count_or_refuse(self, call: ArrivingRequest) -> Refused | None:
+        """Charge a request that is about to be sent to the budget, or return a refusal.
 
-        A request that callers send is by no repeat, whatever runs where it begins.
+        The probability that a repeat made the request, `by_repeat`, is reduced by the share of
+        the route's requests that come from callers: a caller's request is made by no repeat,
+        whatever its ingress node executes at that time.
         """
         refused = self.refuse(call)
         if refused is not None:
             return refused
-        call.by_repeat *= 1.0 - self._callers.share(call.route)
+        call.by_repeat *= 1.0 - self._caller_shares.share(call.route)
         now = self._clock.now()
         self._budget.arrived(call.arrival, now)
         if call.arrival is Arrival.FIRST:
-            self._callers.learn(call.route, call.idle_observation)
-            requests = self._callers.counted(call.route)
+            self._caller_shares.learn(call.route, call.idle_observation)
+            requests = self._caller_shares.counted(call.route)
             self._requests += requests
             self._budget.requested(requests, now)
             self._arrived += call.by_repeat
             self._budget.called(call.by_repeat, now)
         else:
             self._arrived += 1
-            self._tell(call, now, granted=True)
+            self._log_decision(call, now, granted=True)
         return None
 
     def status(self) -> RepeatStatus:
-        """Return what an operator adds up over the nodes of the service."""
+        """Return the counters of this node."""
         level = self._budget.level(self._clock.now())
         return RepeatStatus(
-            self._arrived, self._requests, self._budget.part, level, self._shared_by
+            self._arrived, self._requests, self._budget.part, level, self._node_count
         )
 
-    def owes_for(self, call: Try) -> bool:
-        """Return whether runs that make such calls must not be repeated for now.
+    def is_over_budget_for(self, call: ArrivingRequest) -> bool:
+        """Return whether requests that make such calls must not be repeated for now.
 
-        Calls of repeated runs have then taken more than is left for them. Callers' requests are
-        told nothing: where they begin other services would hold their repeats for them.
+        This is so while calls made by repeats have used up more than the budget. It is never so
+        for routes used by callers: the nodes where callers' requests arrive would needlessly pause
+        the repeats of their own services.
         """
-        is_call = self._callers.share(call.route) < CALLED_SHARE
+        is_call = self._caller_shares.share(call.route) < MIN_CALLER_SHARE
         return is_call and self._budget.owes(self._clock.now())
 
-    def called_owes(self, call: Try) -> None:
-        """Take in that the service that a call went to owes.
+    def callee_over_budget(self, call: ArrivingRequest) -> None:
+        """Pause repeats, as the service that a call went to is over its repeat budget.
 
-        Load pattern: a service turns work away, its repeats run, and each makes two calls to a
-        service that has less room for repeats than its own. They are refused here, before they
-        run: refused there, they would have run in vain.
+        This guards against repeats executed in vain: a service rejects requests, their repeats
+        are executed, and each makes two calls to a service with a smaller repeat budget, which
+        rejects them. The pause rejects such repeats before they are executed.
         """
         if call.by_repeat > 0:
-            self._held_until = self._clock.now() + HELD_SECONDS
+            self._paused_until = self._clock.now() + REPEAT_PAUSE_SECONDS
 
-    def _tell(self, call: Try, now: float, *, granted: bool) -> None:
+    def _log_decision(self, call: ArrivingRequest, now: float, *, granted: bool) -> None:
         self._log.decision(
             "extra_try",
             request=call.request_id,
@@ -203,6 +213,6 @@
             kind=call.arrival.name.lower(),
             level=round(self._budget.level(now), 2),
             part=round(self._budget.part, 2),
-            nodes=self._shared_by,
-            callers=round(self._callers.share(call.route), 2),
+            nodes=self._node_count,
+            callers=round(self._caller_shares.share(call.route), 2),
         )
--- a/src/hoisthook/mesh/admitted_exchange.py
+++ b/src/hoisthook/mesh/admitted_exchange.py
@@ -76,7 +76,7 @@
         """Return the answer, or what is known of a request without one.
 
         None says that it was sent whole and that the other node is silent; it may still run it,
-        so either `hear_out` or `close` has to follow.
+        so either `await_outcome` or `close` has to follow.
 
         Parameters
         ----------
@@ -89,7 +89,7 @@
         self._deadline = asyncio.get_running_loop().time() + timeout
         return await self._bounded(self._exchange(min(ADMISSION_SECONDS, silence)))
 
-    async def hear_out(self) -> tuple[AnswerHead, bytes] | Lost:
+    async def await_outcome(self) -> tuple[AnswerHead, bytes] | Lost:
         """Return the answer of a node that was silent, or what is known at the deadline."""
         answered = await self._bounded(self._finish())
         assert isinstance(answered, tuple | Lost)
--- a/src/hoisthook/mesh/backend_link.py
+++ b/src/hoisthook/mesh/backend_link.py
@@ -8,7 +8,7 @@
 from hoisthook.admission.admitter import Admitter
 from hoisthook.admission.running_requests import RunningRequests
 from hoisthook.admission.server_speed import ServerSpeed
-from hoisthook.local_backend.admission_lines import AdmissionLines
+from hoisthook.local_backend.admission_logger import AdmissionLogger
 from hoisthook.local_backend.backend_exchange import FAILURE_STATUS
 from hoisthook.local_backend.backend_exchange import BackendExchanges
 from hoisthook.local_backend.exit_detector import ExitDetector
@@ -136,8 +136,8 @@
         self._settings = settings
         self._crashes = crashes
         self.repeats = repeats
-        self.exit_detector.on_ended(crashes.ended)
-        self._lines = AdmissionLines(self.gate, self._speed, self.observed_backend, clock, log)
+        self.exit_detector.on_exit(crashes.ended)
+        self._lines = AdmissionLogger(self.gate, self._speed, self.observed_backend, clock, log)
         self.leaving = False
         self.stopping = False
         self.evacuated = False
@@ -158,7 +158,7 @@
         self.observed_backend.deregistered(incarnation)
         self._adapt()
 
-    def has_traits(self, traits: ServiceTraits | None) -> None:
+    def apply_traits(self, traits: ServiceTraits | None) -> None:
         """Take in what operators say about the service."""
         if traits is not None:
             self.health.path = traits.health_path
@@ -271,7 +271,7 @@
             return Refused(ResultCode.DATA_CENTRE_EVACUATED, EVACUATED_RETRY_SECONDS)
         if not self.observed_backend.takes_work:
             return Refused(ResultCode.BACKEND_SERVER_DRAINING, DRAINING_RETRY_SECONDS)
-        return self._crashes.refuse(call) or self.repeats.arrives(call)
+        return self._crashes.refuse(call) or self.repeats.count_or_refuse(call)
 
     def _demand(self, call: RoutedCall) -> Demand:
         return self._admitter.demand(
@@ -314,7 +314,7 @@
         outcome = exchange_result.outcome
         if isinstance(outcome, CompleteAnswer) and outcome.status < FAILURE_STATUS:
             self._admitter.worked(admitted_request, exchange_result.seconds)
-            self._crashes.ran_well(call)
+            self._crashes.request_succeeded(call)
         elif isinstance(outcome, Lost) and outcome.code is ResultCode.DEADLINE_DURING_RUN:
             self._admitter.gave_up(admitted_request, exchange_result.seconds)
         # The answer may have told of slots, or of another incarnation.
--- a/src/hoisthook/mesh/crash_protection.py
+++ b/src/hoisthook/mesh/crash_protection.py
@@ -50,7 +50,7 @@
     def tell_by(self, directory: PeerDirectory, sync: PeerSync) -> None:
         """Tell the other nodes of the service from now on."""
         self._notifier = CrashNotifier(directory, sync, self._clock)
-        self.crash_monitor.on_reported(self._notifier.tell)
+        self.crash_monitor.on_crash_attributed(self._notifier.tell)
 
     def keep_in(self, store: RecordStore, topic: str, era: StoreEra) -> CrashRecords:
         """Keep in the store what is refused from now on; return what reads it there."""
--- a/src/hoisthook/mesh/crash_records.py
+++ b/src/hoisthook/mesh/crash_records.py
@@ -119,7 +119,7 @@
             self._writing.start(self._write(record))
 
     def _refused(self, service: ServiceName, work: WorkId) -> None:
-        if not self._crash_monitor.has_blamed(work):
+        if not self._crash_monitor.has_crashed_under(work):
             return
         reports = list(self._evidence.reports_of(service, work, self._clock.now()))
         value = msgspec.json.encode(CrashRecord(self._wall(), reports))
--- a/src/hoisthook/mesh/hop_server.py
+++ b/src/hoisthook/mesh/hop_server.py
@@ -115,13 +115,15 @@
         outcome = await self._local_backend.run(
             call, header.admission, admitted=admitted, waiting=waiting
         )
-        await self._answer(exchange, outcome, owes=self._local_backend.repeats.owes_for(call))
+        await self._answer(
+            exchange, outcome, owes=self._local_backend.repeats.is_over_budget_for(call)
+        )
 
     async def _answer(
         self, exchange: ServerExchange, outcome: Outcome, *, owes: bool = False
     ) -> None:
         told = dataclasses.replace(
-            self._local_backend.load(), configuration=self._sync.version, owes_repeats=owes
+            self._local_backend.load(), configuration=self._sync.version, over_repeat_budget=owes
         )
         load = (hop_header.LOAD, told.encode())
         if isinstance(outcome, CompleteAnswer):
--- a/src/hoisthook/mesh/mesh_node.py
+++ b/src/hoisthook/mesh/mesh_node.py
@@ -340,7 +340,7 @@
 
     def _configured(self, configuration: TrafficConfiguration) -> None:
         service = ServiceName(self.settings.node.service)
-        self.link.has_traits(configuration.traits_by_service.get(service))
+        self.link.apply_traits(configuration.traits_by_service.get(service))
         if any(team.quota is not None for team in configuration.teams.by_name.values()):
             self._quotas.start()
         limits = configuration.limits
--- a/src/hoisthook/mesh/node_load.py
+++ b/src/hoisthook/mesh/node_load.py
@@ -26,7 +26,7 @@
         Share of recent answers that failed, 0 to 1.
     configuration : int
         Version in force at the node; -1 for none.
-    owes_repeats : bool
+    over_repeat_budget : bool
         Whether calls of repeated runs have used up more than is left there for repeats.
     """
 
@@ -36,7 +36,7 @@
     slowdown: float
     failing: float
     configuration: int = -1
-    owes_repeats: bool = False
+    over_repeat_budget: bool = False
 
     def encode(self) -> bytes:
         """Return the header's value; shares and factors in per cent."""
@@ -49,7 +49,7 @@
             slowdown,
             failing,
             self.configuration + 1,
-            self.owes_repeats,
+            self.over_repeat_budget,
         )
 
     @classmethod
--- a/src/hoisthook/mesh/outcome.py
+++ b/src/hoisthook/mesh/outcome.py
@@ -43,8 +43,8 @@
 
     Attributes
     ----------
-    heard : asyncio.Task of Outcome
+    outcome_task : asyncio.Task of Outcome
         Ends with what is heard, or with the deadline; cancelling it withdraws the request.
     """
 
-    heard: asyncio.Task[Outcome]
+    outcome_task: asyncio.Task[Outcome]
--- a/src/hoisthook/mesh/peer_hop.py
+++ b/src/hoisthook/mesh/peer_hop.py
@@ -188,7 +188,7 @@
         sent.view.sent()
         checking = asyncio.ensure_future(self._close_if_gone(sent))
         try:
-            answered = await exchange.hear_out()
+            answered = await exchange.await_outcome()
         finally:
             checking.cancel()
             sent.view.ended()
@@ -269,8 +269,8 @@
         if load is not None:
             view.reported(load, self._clock.now())
             self._sync.heard(view.address, load.configuration)
-            if load.owes_repeats:
-                self._local_backend.repeats.called_owes(call)
+            if load.over_repeat_budget:
+                self._local_backend.repeats.callee_over_budget(call)
         result = head.get(hop_header.RESULT)
         if result is None:
             if load is None:
--- a/src/hoisthook/mesh/routed_dispatcher.py
+++ b/src/hoisthook/mesh/routed_dispatcher.py
@@ -218,12 +218,12 @@
             return False
         now = self._clock.now()
         seconds = call.time_left(now) if self._hop.leaving else call.target_left(now)
-        heard, _ = await asyncio.wait(
+        outcome_task, _ = await asyncio.wait(
             progress.pending_outcomes, timeout=max(0.0, seconds), return_when=FIRST_COMPLETED
         )
         progress.take_late(self._clock.now())
         # It may have been told to leave meanwhile.
-        return bool(heard) or (self._hop.leaving and call.time_left(self._clock.now()) > 0)
+        return bool(outcome_task) or (self._hop.leaving and call.time_left(self._clock.now()) > 0)
 
     def _conclude(self, call: RoutedCall, progress: RoutedProgress) -> Outcome:
         if progress.tries == 0:
@@ -243,4 +243,4 @@
         return
     outcome = trial.result()
     if isinstance(outcome, PendingOutcome):
-        outcome.heard.cancel()
+        outcome.outcome_task.cancel()
--- a/src/hoisthook/mesh/routed_progress.py
+++ b/src/hoisthook/mesh/routed_progress.py
@@ -105,7 +105,7 @@
             return
         self.left_out.add(node)
         if isinstance(outcome, PendingOutcome):
-            self.pending_outcomes[outcome.heard] = node
+            self.pending_outcomes[outcome.outcome_task] = node
             if self.call.arrival is Arrival.FIRST:
                 self.call.arrival = Arrival.UNHEARD
             self._goes_on(now)
--- a/src/hoisthook/node/crash_guard.py
+++ b/src/hoisthook/node/crash_guard.py
@@ -54,7 +54,7 @@
         self._exit_detector = ExitDetector(
             lambda: self._address, pool, lambda: self._takes_work, clock, log
         )
-        self._exit_detector.on_ended(self._crash_monitor.ended)
+        self._exit_detector.on_exit(self._crash_monitor.ended)
         self._clock = clock
         self._incarnation = incarnation
         self._address: Address = ("", 0)
@@ -67,9 +67,9 @@
         """Return the name of the present life of the backend server."""
         return InstanceId(f"{self._incarnation}/{self._life}")
 
-    def on_reported(self, listener: Callable[[], None]) -> None:
+    def on_crash_attributed(self, listener: Callable[[], None]) -> None:
         """Have ``listener`` called once an end has been held against work."""
-        self._crash_monitor.on_reported(listener)
+        self._crash_monitor.on_crash_attributed(listener)
 
     def close(self) -> None:
         """Stop what is under way."""
@@ -99,6 +99,6 @@
         """Take in that a life answered what was sent to it at some moment."""
         self._exit_detector.answered(instance, sent_at)
 
-    def ran_well(self, call: Call) -> None:
+    def request_succeeded(self, call: Call) -> None:
         """Take in that a call has run to a good end."""
-        self._crash_monitor.ran_well(call)
+        self._crash_monitor.request_succeeded(call)
--- a/src/hoisthook/node/local_backend.py
+++ b/src/hoisthook/node/local_backend.py
@@ -266,7 +266,7 @@
             exchanger.stop()
             self.finished += 1
             if whole and not failed and call.is_complete:
-                self._crashes.ran_well(call)
+                self._crashes.request_succeeded(call)
             self._end(ticket, connection, keep=whole, failed=failed)
 
         return Answer(head, connection.body, self.backend_server, finish)
--- a/src/hoisthook/node/node.py
+++ b/src/hoisthook/node/node.py
@@ -271,7 +271,7 @@
         self._crashes = CrashGuard(
             self._backend_pool, self.incarnation, self._clock, self._decisions
         )
-        self._crashes.on_reported(lambda: self._announcing.start(self.gossip.announce()))
+        self._crashes.on_crash_attributed(lambda: self._announcing.start(self.gossip.announce()))
         self.gossip.crashes = self._crashes.evidence
         self.local_backend = LocalBackend(
             self._backend_pool,
--- a/tests/local_backend/test_crash_monitor.py
+++ b/tests/local_backend/test_crash_monitor.py
@@ -1,4 +1,4 @@
-"""What ran in a backend server as it ended is held against it, unless it is run all the time."""
+"""Attribution of backend server crashes to the work that was in progress."""
 
 from __future__ import annotations
 
@@ -45,53 +45,53 @@
     return [LostRequest(call.request_id, call.work, InstanceId(instance), clock.now())]
 
 
-def test_all_servers_end_at_once_with_the_same_work_in_each(clock: FakeClock) -> None:
+def test_simultaneous_exits_under_frequent_work_are_not_attributed_to_it(clock: FakeClock) -> None:
     evidence = CrashEvidence(ListLog())
     call = popular_call()
-    watches = [CrashMonitor(SHOP, evidence, clock) for _ in range(SERVERS)]
-    for life in range(3):
-        for crash_monitor in watches:
-            crash_monitor.ran_well(call)
+    monitors = [CrashMonitor(SHOP, evidence, clock) for _ in range(SERVERS)]
+    for round_number in range(3):
+        for crash_monitor in monitors:
+            crash_monitor.request_succeeded(call)
         clock.advance(1.0)
-        for number, crash_monitor in enumerate(watches):
-            crash_monitor.ended(lost(call, f"i-{number}-{life}", clock))
-        assert watches[0].refuse(call) is None
+        for number, crash_monitor in enumerate(monitors):
+            crash_monitor.ended(lost(call, f"i-{number}-{round_number}", clock))
+        assert monitors[0].refuse(call) is None
 
 
-def test_work_that_has_run_well_in_another_incarnation_alone_is_blamed(clock: FakeClock) -> None:
+def test_work_that_succeeded_only_in_an_earlier_incarnation_is_refused(clock: FakeClock) -> None:
     evidence = CrashEvidence(ListLog())
     call = popular_call()
     crash_monitor = CrashMonitor(SHOP, evidence, clock)
-    crash_monitor.ran_well(call)
-    for life in range(4):
+    crash_monitor.request_succeeded(call)
+    for round_number in range(4):
         clock.advance(1.0)
-        crash_monitor.ended(lost(call, f"i-{life}", clock))
+        crash_monitor.ended(lost(call, f"i-{round_number}", clock))
     refused = crash_monitor.refuse(call)
     assert refused is not None
     assert refused.code is ResultCode.WORK_ENDS_SERVERS
 
 
-def test_work_whose_body_is_not_here_yet_is_not_judged(clock: FakeClock) -> None:
+def test_request_with_an_incomplete_body_is_not_refused(clock: FakeClock) -> None:
     evidence = CrashEvidence(ListLog())
     call = popular_call()
     crash_monitor = CrashMonitor(SHOP, evidence, clock)
-    for life in range(3):
-        crash_monitor.ended(lost(call, f"i-{life}", clock))
+    for round_number in range(3):
+        crash_monitor.ended(lost(call, f"i-{round_number}", clock))
     call.is_complete = False
     assert crash_monitor.refuse(call) is None
     call.is_complete = True
     assert crash_monitor.refuse(call) is not None
 
 
-def test_good_run_takes_the_blame_away(clock: FakeClock) -> None:
+def test_success_on_another_node_clears_earlier_crashes(clock: FakeClock) -> None:
     evidence = CrashEvidence(ListLog())
     call = popular_call()
     crash_monitor = CrashMonitor(SHOP, evidence, clock)
-    for life in range(2):
+    for round_number in range(2):
         clock.advance(1.0)
-        crash_monitor.ended(lost(call, f"i-{life}", clock))
+        crash_monitor.ended(lost(call, f"i-{round_number}", clock))
     clock.advance(1.0)
-    CrashMonitor(SHOP, evidence, clock).ran_well(call)
+    CrashMonitor(SHOP, evidence, clock).request_succeeded(call)
     clock.advance(1.0)
     crash_monitor.ended(lost(call, "i-2", clock))
     assert crash_monitor.refuse(call) is None
--- a/tests/local_backend/test_exit_detector.py
+++ b/tests/local_backend/test_exit_detector.py
@@ -1,4 +1,4 @@
-"""Which lost requests count as lost with their backend server."""
+"""Which lost requests are reported as lost through an exit of their backend server."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 FIRST, SECOND = InstanceId("i-1"), InstanceId("i-2")
 
 
-class Watched:
-    """A watch beside a backend server that is there and takes connections."""
+class WatchedBackend:
+    """A running backend server that is watched by an exit detector."""
 
     def __init__(self, clock: FakeClock, backend: MeshBackendStandin) -> None:
         self.clock = clock
@@ -39,8 +39,8 @@
             clock,
             ListLog(),
         )
-        self.ended: list[LostRequest] = []
-        self.exit_detector.on_ended(self.ended.extend)
+        self.reported: list[LostRequest] = []
+        self.exit_detector.on_exit(self.reported.extend)
 
     def announce(self, *, sequence: int, draining: bool = False) -> None:
         self.observed_backend.announced(
@@ -54,54 +54,54 @@
 
 
 @pytest.fixture
-async def watched(clock: FakeClock) -> Watched:
+async def watched(clock: FakeClock) -> WatchedBackend:
     backend = MeshBackendStandin("shop", "i-1")
     await backend.start()
-    return Watched(clock, backend)
+    return WatchedBackend(clock, backend)
 
 
-async def test_another_incarnation_proves_the_end(watched: Watched) -> None:
+async def test_replacement_by_another_incarnation_is_an_exit(watched: WatchedBackend) -> None:
     lost = watched.lose()
     watched.exit_detector.replaced()
-    assert watched.ended == [lost]
+    assert watched.reported == [lost]
 
 
-async def test_answer_to_what_was_sent_later_disproves_it(watched: Watched) -> None:
+async def test_answer_to_a_later_request_rules_out_an_exit(watched: WatchedBackend) -> None:
     watched.lose()
     watched.clock.advance(0.1)
     watched.exit_detector.answered(FIRST, watched.clock.now())
     watched.exit_detector.replaced()
-    assert watched.ended == []
+    assert watched.reported == []
 
 
-async def test_answer_that_was_on_its_way_disproves_nothing(watched: Watched) -> None:
+async def test_answer_in_transit_does_not_rule_out_an_exit(watched: WatchedBackend) -> None:
     sent_at = watched.clock.now()
     watched.clock.advance(0.1)
     lost = watched.lose()
     watched.exit_detector.answered(FIRST, sent_at)
     watched.exit_detector.answered(SECOND, watched.clock.now() + 1.0)
     watched.exit_detector.replaced()
-    assert watched.ended == [lost]
+    assert watched.reported == [lost]
 
 
-async def test_planned_end_is_held_against_nothing(watched: Watched) -> None:
+async def test_exit_after_a_drain_reports_no_lost_requests(watched: WatchedBackend) -> None:
     watched.announce(sequence=2, draining=True)
     watched.lose()
     watched.exit_detector.replaced()
-    assert watched.ended == []
+    assert watched.reported == []
 
 
-async def test_loss_long_before_the_end_has_nothing_to_do_with_it(watched: Watched) -> None:
+async def test_request_lost_long_before_the_exit_is_not_reported(watched: WatchedBackend) -> None:
     watched.lose()
     watched.clock.advance(PENDING_SECONDS + 1.0)
     watched.exit_detector.replaced()
-    assert watched.ended == []
+    assert watched.reported == []
 
 
-async def test_losses_that_came_to_nothing_make_no_end_go_unseen(watched: Watched) -> None:
+async def test_expired_losses_leave_capacity_for_new_ones(watched: WatchedBackend) -> None:
     for _ in range(MAX_PENDING):
         watched.lose()
     watched.clock.advance(PENDING_SECONDS + 1.0)
     lost = watched.lose()
     watched.exit_detector.replaced()
-    assert watched.ended == [lost]
+    assert watched.reported == [lost]
--- a/tests/local_backend/test_repeat_limit.py
+++ b/tests/local_backend/test_repeat_limit.py
@@ -6,7 +6,7 @@
 from hoisthook.identity import NodeId
 from hoisthook.identity import RequestId
 from hoisthook.identity import RouteName
-from hoisthook.local_backend.repeat_limit import MAX_CLOSED_SECONDS
+from hoisthook.local_backend.repeat_limit import MAX_RETRY_AFTER_SECONDS
 from hoisthook.local_backend.repeat_limit import RepeatLimit
 from hoisthook.result_code import ResultCode
 from hoisthook.retry.arrival import Arrival
@@ -16,12 +16,14 @@
 from standin.mesh_system import ListLog
 from tests.fakes import FakeClock
 
-ME = NodeId("me")
+THIS_NODE = NodeId("me")
 
 
 @dataclass
 class Nodes:
-    ids: list[NodeId] = field(default_factory=lambda: [ME])
+    """Nodes of the service, as `ServiceNodes` defines them."""
+
+    ids: list[NodeId] = field(default_factory=lambda: [THIS_NODE])
     is_complete: bool = True
 
     @property
@@ -34,6 +36,8 @@
 
 @dataclass
 class Request:
+    """A request, as `ArrivingRequest` defines it."""
+
     arrival: Arrival = Arrival.FIRST
     route: RouteName = field(default=RouteName("route"))
     idle_observation: IdleObservation = UNKNOWN
@@ -41,110 +45,113 @@
     request_id: RequestId = field(default=RequestId("r"))
 
 
-def limit(nodes: Nodes, clock: FakeClock, *, ratio: float = 0.0) -> RepeatLimit:
-    return RepeatLimit(ME, nodes, RetrySettings(ratio, 10.0, 40.0), clock, ListLog())
+def make_limit(nodes: Nodes, clock: FakeClock, *, ratio: float = 0.0) -> RepeatLimit:
+    return RepeatLimit(THIS_NODE, nodes, RetrySettings(ratio, 10.0, 40.0), clock, ListLog())
 
 
-def repeats(of: RepeatLimit, tries: int = 100) -> int:
-    again = Request(Arrival.REDIRECTED)
-    return sum(of.arrives(again) is None for _ in range(tries))
+def admitted_repeats(limit: RepeatLimit, attempts: int = 100) -> int:
+    """Let repeats arrive; return how many of them are admitted."""
+    repeat = Request(Arrival.REDIRECTED)
+    return sum(limit.count_or_refuse(repeat) is None for _ in range(attempts))
 
 
 def test_nothing_accrues_before_all_nodes_are_known() -> None:
     clock = FakeClock()
     nodes = Nodes(is_complete=False)
-    fresh = limit(nodes, clock)
-    fresh.arrives(Request())
+    node_limit = make_limit(nodes, clock)
+    node_limit.count_or_refuse(Request())
     clock.advance(100.0)
-    assert repeats(fresh) == 0
+    assert admitted_repeats(node_limit) == 0
     nodes.is_complete = True
-    fresh.arrives(Request())
+    node_limit.count_or_refuse(Request())
     clock.advance(100.0)
-    assert repeats(fresh) == 10
+    assert admitted_repeats(node_limit) == 10
 
 
 def test_part_follows_the_nodes_of_the_service() -> None:
     clock = FakeClock()
     nodes = Nodes()
-    shared = limit(nodes, clock)
-    shared.arrives(Request())
+    node_limit = make_limit(nodes, clock)
+    node_limit.count_or_refuse(Request())
     clock.advance(100.0)
-    nodes.ids = [ME, *(NodeId(f"other-{number}") for number in range(3))]
-    assert repeats(shared) == 2
+    nodes.ids = [THIS_NODE, *(NodeId(f"other-{number}") for number in range(3))]
+    assert admitted_repeats(node_limit) == 2
 
 
-def test_repeat_beyond_the_budget_is_refused_with_a_time_to_come_back() -> None:
+def test_repeat_beyond_the_budget_is_refused_with_a_retry_after() -> None:
     clock = FakeClock()
-    spent = limit(Nodes(), clock)
-    refused = spent.refuse(Request(Arrival.REDIRECTED))
+    node_limit = make_limit(Nodes(), clock)
+    refused = node_limit.refuse(Request(Arrival.REDIRECTED))
     assert refused is not None
     assert refused.code is ResultCode.RETRY_BUDGET_SPENT
-    assert 0.0 < refused.retry_after <= MAX_CLOSED_SECONDS
-    assert spent.refuse(Request()) is None
+    assert 0.0 < refused.retry_after <= MAX_RETRY_AFTER_SECONDS
+    assert node_limit.refuse(Request()) is None
 
 
-def test_room_is_taken_where_a_repeat_arrives_not_where_it_is_asked_for() -> None:
+def test_budget_is_charged_on_arrival_and_not_by_an_earlier_check() -> None:
     clock = FakeClock()
-    saved = limit(Nodes(), clock)
-    saved.arrives(Request())
+    node_limit = make_limit(Nodes(), clock)
+    node_limit.count_or_refuse(Request())
     clock.advance(100.0)
     for _ in range(100):
-        assert saved.refuse(Request(Arrival.REDIRECTED)) is None
-    assert repeats(saved) == 10
+        assert node_limit.refuse(Request(Arrival.REDIRECTED)) is None
+    assert admitted_repeats(node_limit) == 10
 
 
-def test_repeats_are_held_where_a_service_that_they_call_owes() -> None:
+def test_repeats_pause_while_a_called_service_is_over_its_budget() -> None:
     clock = FakeClock()
-    called = limit(Nodes(), clock)
-    called.arrives(Request())
+    callee = make_limit(Nodes(), clock)
+    callee.count_or_refuse(Request())
     for _ in range(10):
-        called.arrives(Request(by_repeat=1.0))
-    assert called.owes_for(Request())
-    caller = limit(Nodes(), clock)
-    caller.arrives(Request())
+        callee.count_or_refuse(Request(by_repeat=1.0))
+    assert callee.is_over_budget_for(Request())
+    caller = make_limit(Nodes(), clock)
+    caller.count_or_refuse(Request())
     clock.advance(100.0)
-    caller.called_owes(Request())
+    caller.callee_over_budget(Request())
     assert caller.refuse(Request(Arrival.REDIRECTED)) is None
-    caller.called_owes(Request(by_repeat=0.1))
+    caller.callee_over_budget(Request(by_repeat=0.1))
     assert caller.refuse(Request(Arrival.REDIRECTED)) is not None
     assert caller.refuse(Request()) is None
     clock.advance(5.0)
     assert caller.refuse(Request(Arrival.REDIRECTED)) is None
-    assert not called.owes_for(Request())
+    assert not callee.is_over_budget_for(Request())
 
 
 def test_status_adds_up_what_arrived_and_what_was_counted() -> None:
     clock = FakeClock()
-    told = limit(Nodes(), clock)
-    told.arrives(Request(idle_observation=IdleObservation(1.0, is_idle=True)))
-    told.arrives(Request(by_repeat=0.25, route=RouteName("called")))
+    node_limit = make_limit(Nodes(), clock)
+    node_limit.count_or_refuse(Request(idle_observation=IdleObservation(1.0, is_idle=True)))
+    node_limit.count_or_refuse(Request(by_repeat=0.25, route=RouteName("called")))
     clock.advance(100.0)
-    assert repeats(told, 3) == 3
-    status = told.status()
+    assert admitted_repeats(node_limit, 3) == 3
+    status = node_limit.status()
     assert status.arrived == 3.25
     assert 0.0 < status.requests <= 2.0
     assert (status.part, status.nodes) == (40.0, 1)
     assert status.level == 7.0
 
 
-def test_callers_request_is_by_no_repeat_whatever_runs_where_it_begins() -> None:
+def test_request_of_a_caller_does_not_count_as_made_by_a_repeat() -> None:
     clock = FakeClock()
-    told = limit(Nodes(), clock)
+    node_limit = make_limit(Nodes(), clock)
     for _ in range(1000):
-        told.arrives(Request(idle_observation=IdleObservation(1.0, is_idle=True)))
-    before = told.status().arrived
-    told.arrives(request := Request(by_repeat=1.0))
+        node_limit.count_or_refuse(Request(idle_observation=IdleObservation(1.0, is_idle=True)))
+    before = node_limit.status().arrived
+    node_limit.count_or_refuse(request := Request(by_repeat=1.0))
     assert request.by_repeat < 0.1
-    assert told.status().arrived - before < 0.1
+    assert node_limit.status().arrived - before < 0.1
 
 
-def test_nodes_hold_no_repeats_for_callers_requests_to_a_service_that_owes() -> None:
+def test_requests_of_callers_cause_no_pause_of_repeats() -> None:
     clock = FakeClock()
-    called = limit(Nodes(), clock)
-    asked = RouteName("asked")
+    callee = make_limit(Nodes(), clock)
+    caller_route = RouteName("asked")
     for _ in range(100):
-        called.arrives(Request(route=asked, idle_observation=IdleObservation(1.0, is_idle=True)))
+        callee.count_or_refuse(
+            Request(route=caller_route, idle_observation=IdleObservation(1.0, is_idle=True))
+        )
     for _ in range(10):
-        called.arrives(Request(by_repeat=1.0))
-    assert called.owes_for(Request())
-    assert not called.owes_for(Request(route=asked))
+        callee.count_or_refuse(Request(by_repeat=1.0))
+    assert callee.is_over_budget_for(Request())
+    assert not callee.is_over_budget_for(Request(route=caller_route))
--- a/tests/mesh/test_admission.py
+++ b/tests/mesh/test_admission.py
@@ -88,7 +88,7 @@
     return ingress, sound
 
 
-async def test_request_that_may_not_be_repeated_leaves_a_silent_node_for_another(
+async def test_nonrepeatable_request_moves_from_a_silent_node_to_another(
     system: MeshSystem, odd_peers: list[OddPeer]
 ) -> None:
     odd = OddPeer()
@@ -100,7 +100,7 @@
     assert BODY not in odd.received
 
 
-async def test_request_that_may_not_be_repeated_leaves_a_node_that_drops_it_unread(
+async def test_nonrepeatable_request_moves_on_from_a_node_that_drops_it_unread(
     system: MeshSystem, odd_peers: list[OddPeer]
 ) -> None:
     odd = OddPeer(drops=True)
@@ -121,7 +121,7 @@
     assert not odd.received.endswith(b"0\r\n\r\n")
 
 
-async def test_repeatable_request_leaves_a_silent_node_for_another(
+async def test_repeatable_request_moves_from_a_silent_node_to_another(
     system: MeshSystem, odd_peers: list[OddPeer]
 ) -> None:
     odd = OddPeer()
@@ -159,7 +159,7 @@
     assert system.log.named("extra_try") == []
 
 
-async def test_silence_is_counted_where_the_request_may_still_arrive(
+async def test_silence_is_charged_if_the_request_may_still_arrive(
     system: MeshSystem, odd_peers: list[OddPeer]
 ) -> None:
     system.retry = MeshRetrySettings(extra=0.0)
@@ -176,7 +176,7 @@
     assert counted["level"] == -1.0
 
 
-async def test_node_that_was_silent_is_sent_no_whole_request_for_a_while(
+async def test_silent_node_is_sent_no_complete_request_for_a_while(
     system: MeshSystem, odd_peers: list[OddPeer], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("hoisthook.mesh.peer.FIRST_BACKOFF_SECONDS", 0.0)
@@ -196,7 +196,7 @@
     assert len(system.log.named("extra_try")) == 1
 
 
-async def test_lines_tell_a_loss_before_admission_and_what_may_have_arrived(
+async def test_log_shows_a_loss_before_admission_and_the_possible_arrivals(
     system: MeshSystem, odd_peers: list[OddPeer]
 ) -> None:
     odd = OddPeer(drops=True)
@@ -249,7 +249,9 @@
     assert odd.connections == 1
 
 
-async def test_node_does_not_run_a_request_whose_sender_has_left(system: MeshSystem) -> None:
+async def test_node_does_not_run_a_request_whose_sender_has_disconnected(
+    system: MeshSystem,
+) -> None:
     ingress = await system.add("front")
     server = await system.add("shop")
     reader, writer = await asyncio.open_connection(*server.node.peers_address)
@@ -269,7 +271,7 @@
     assert (await system.call(ingress))[0] == 200
 
 
-async def test_body_that_stands_still_gives_its_slot_back(
+async def test_stalled_body_releases_its_slot(
     system: MeshSystem, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("hoisthook.mesh.hop_server.PIECE_SECONDS", 0.01)
@@ -310,7 +312,7 @@
     writer.close()
 
 
-async def test_node_that_keeps_a_request_waiting_says_so_and_is_heard_until_then(
+async def test_announced_queue_time_extends_the_admission_timeout(
     system: MeshSystem, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("hoisthook.mesh.admitted_exchange.MIN_ADMISSION_SECONDS", 0.05)
@@ -332,7 +334,7 @@
     assert len(server.backend.arrivals) == 2
 
 
-async def test_request_given_up_unheard_runs_nowhere_but_where_it_is_asked_for(
+async def test_complete_request_is_sent_to_at_most_one_silent_node(
     system: MeshSystem, odd_peers: list[OddPeer]
 ) -> None:
     """Links that take longer than the silence that is borne: what was sent arrives all the same."""
--- a/tests/mesh/test_cold_backend.py
+++ b/tests/mesh/test_cold_backend.py
@@ -44,7 +44,7 @@
     return [status for status, _, _ in await asyncio.gather(*calls)]
 
 
-async def test_announced_cold_server_gets_no_more_than_it_bears(system: MeshSystem) -> None:
+async def test_server_announced_as_cold_is_rate_limited(system: MeshSystem) -> None:
     ingresses, server = await ingresses_and_server(system)
     server.backend.cold_seconds = 30.0
     await server.beat()
@@ -56,7 +56,7 @@
     assert set(statuses) == {200, 503}
 
 
-async def test_server_that_turns_cold_unannounced_gets_no_more(system: MeshSystem) -> None:
+async def test_server_that_turns_cold_unannounced_is_rate_limited(system: MeshSystem) -> None:
     ingresses, server = await ingresses_and_server(system)
     await press(system, ingresses)
     server.backend.arrival_times.clear()
@@ -65,7 +65,7 @@
     assert most_in_a_second(server.backend.arrival_times) <= BOUND
 
 
-async def test_health_that_is_refused_does_not_say_that_it_is_warm(system: MeshSystem) -> None:
+async def test_refused_health_check_does_not_mark_the_server_as_warm(system: MeshSystem) -> None:
     ingresses, server = await ingresses_and_server(system)
     server.backend.cold_seconds = 30.0
     await server.beat()
@@ -83,7 +83,7 @@
     assert server.backend.health_reads <= 3 * REQUESTS / BOUND
 
 
-async def test_node_that_starts_again_does_not_give_it_as_much_once_more(
+async def test_restarted_node_does_not_renew_the_allowance_of_a_cold_server(
     system: MeshSystem,
 ) -> None:
     ingresses, server = await ingresses_and_server(system)
--- a/tests/mesh/test_dropping_backend.py
+++ b/tests/mesh/test_dropping_backend.py
@@ -28,7 +28,7 @@
     return ingress, shop
 
 
-async def test_backend_server_that_drops_what_it_is_sent_is_left_alone(
+async def test_backend_server_that_drops_requests_is_sent_none_for_a_while(
     system: MeshSystem, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(observed_backend, "FIRST_DROPPED_SECONDS", 600.0)
@@ -42,7 +42,7 @@
     assert len(shop.backend.arrivals) == arrivals
 
 
-async def test_backend_server_that_answers_in_between_is_not_left_alone(
+async def test_backend_server_that_answers_in_between_gets_no_backoff(
     system: MeshSystem,
 ) -> None:
     ingress, shop = await ingress_and_shop(system)
@@ -54,7 +54,7 @@
     assert not system.log.named("backend_unreachable")
 
 
-async def test_reset_of_one_idle_connection_drops_the_others_and_blames_nobody(
+async def test_reset_of_an_idle_connection_drops_the_others_without_backoff(
     system: MeshSystem, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Nothing is learned of the work here, so that each reset comes early in it.
@@ -69,7 +69,7 @@
     assert not system.log.named("backend_unreachable")
 
 
-def test_time_alone_doubles_up_to_the_most_and_begins_anew_after_an_answer() -> None:
+def test_backoff_doubles_up_to_its_maximum_and_resets_after_an_answer() -> None:
     log = ListLog()
     observed_backend = ObservedBackend(log)
     observed_backend.answered_as(InstanceId("i-1"))
@@ -85,7 +85,7 @@
     assert told == [0.15, 0.3, 0.6, 0.6, 0.6, 0.15]
 
 
-def test_requests_that_were_under_way_together_count_once() -> None:
+def test_concurrent_requests_that_are_dropped_cause_one_backoff() -> None:
     log = ListLog()
     observed_backend = ObservedBackend(log)
     for _ in range(9):
--- a/tests/mesh/test_incarnations.py
+++ b/tests/mesh/test_incarnations.py
@@ -27,7 +27,7 @@
     return Announcement(SAME, sequence, draining, slots=4, cold_seconds=0.0, born=born)
 
 
-def test_drain_of_a_later_life_is_heard_though_its_count_is_lower() -> None:
+def test_drain_of_a_later_incarnation_applies_despite_a_lower_sequence() -> None:
     observed_backend = ObservedBackend(ListLog())
     observed_backend.announced(announcement(EARLIER, 400))
     observed_backend.announced(announcement(LATER, 1))
@@ -35,7 +35,7 @@
     assert observed_backend.state is BackendState.DRAINING
 
 
-def test_later_life_is_not_bound_by_the_farewell_of_the_one_before() -> None:
+def test_deregistration_of_an_earlier_incarnation_does_not_bind_a_later_one() -> None:
     observed_backend = ObservedBackend(ListLog())
     observed_backend.announced(announcement(EARLIER, 400))
     observed_backend.deregistered(BackendIncarnation(SAME, EARLIER))
@@ -43,7 +43,7 @@
     assert observed_backend.takes_work
 
 
-def test_late_words_of_the_dead_change_nothing() -> None:
+def test_late_messages_of_an_earlier_incarnation_are_ignored() -> None:
     observed_backend = ObservedBackend(ListLog())
     observed_backend.announced(announcement(LATER, 1))
     assert not observed_backend.announced(announcement(EARLIER, 401, draining=True))
@@ -51,7 +51,7 @@
     assert observed_backend.takes_work
 
 
-def test_what_was_known_of_the_one_before_is_dropped() -> None:
+def test_replacement_resets_the_observed_state() -> None:
     observed_backend = ObservedBackend(ListLog())
     replaced: list[bool] = []
     observed_backend.on_replaced(lambda: replaced.append(True))
@@ -66,7 +66,9 @@
 
 
 @given(st.data())
-def test_any_order_of_two_lives_messages_ends_in_the_later_ones_state(data: st.DataObject) -> None:
+def test_any_order_of_messages_ends_in_the_state_of_the_later_incarnation(
+    data: st.DataObject,
+) -> None:
     other = data.draw(st.sampled_from([SAME, InstanceId("other")]), label="id of the third")
     messages: list[Announcement | BackendIncarnation] = []
     for born in (EARLIER, LATER):
@@ -101,7 +103,7 @@
     return BackendState.DRAINING if last.draining else BackendState.READY
 
 
-async def test_server_that_starts_again_under_its_id_serves_and_drains(system: MeshSystem) -> None:
+async def test_server_that_restarts_under_its_id_serves_and_drains(system: MeshSystem) -> None:
     ingress = await system.add("front")
     server = await system.add("shop", announced=False)
     system.introduce_all()
--- a/tests/mesh/test_leaving.py
+++ b/tests/mesh/test_leaving.py
@@ -29,7 +29,7 @@
 from standin.published_configuration import RouteOptions
 
 if TYPE_CHECKING:
-    from hoisthook.local_backend.repeat_limit import Try
+    from hoisthook.local_backend.repeat_limit import ArrivingRequest
     from standin.mesh_system import Machine
     from standin.mesh_system import MeshSystem
 
@@ -140,7 +140,7 @@
     far.backend.fault = Fault.RESET
     refuse = RepeatLimit.refuse
 
-    def refuse_second(limit: RepeatLimit, call: Try) -> Refused | None:
+    def refuse_second(limit: RepeatLimit, call: ArrivingRequest) -> Refused | None:
         # The first try is lost; whichever is tried next sheds, and no third one is made.
         if call.arrival.is_repeat:
             near.backend.fault = far.backend.fault = Fault.SHED
--- a/tests/mesh/test_pipelining.py
+++ b/tests/mesh/test_pipelining.py
@@ -55,7 +55,7 @@
     assert server.backend.runs == [*names, "last"]
 
 
-async def test_what_stands_behind_an_answer_that_closes_is_not_passed_on(
+async def test_requests_after_a_closing_answer_are_not_forwarded(
     system: MeshSystem,
 ) -> None:
     ingress, server = await ingress_and_server(system)
@@ -68,7 +68,7 @@
     assert server.backend.runs == ["first"]
 
 
-async def test_what_stands_behind_the_last_answer_of_a_node_that_stops_is_not_passed_on(
+async def test_requests_after_the_last_answer_of_a_stopping_node_are_not_forwarded(
     system: MeshSystem,
 ) -> None:
     ingress, server = await ingress_and_server(system)
@@ -82,7 +82,7 @@
     assert server.backend.runs == ["first"]
 
 
-async def test_a_slow_first_one_uses_up_the_time_of_those_behind_it(system: MeshSystem) -> None:
+async def test_slow_first_request_uses_up_the_time_of_later_ones(system: MeshSystem) -> None:
     ingress, server = await ingress_and_server(system)
     server.backend.work_seconds = 0.4
     data = request("first") + request("second", deadline_ms=200) + request("third")
@@ -97,7 +97,7 @@
     assert left[1] <= 2000 - 390
 
 
-async def test_a_reset_ends_all_that_only_this_caller_waits_for(system: MeshSystem) -> None:
+async def test_reset_cancels_the_requests_of_that_caller(system: MeshSystem) -> None:
     ingress, server = await ingress_and_server(system)
     server.backend.work_seconds = 5.0
     _, writer = await send(ingress, request("first") + request("second"))
@@ -107,7 +107,7 @@
     assert server.backend.runs == ["first"]
 
 
-async def test_no_more_is_read_ahead_than_is_bounded(system: MeshSystem) -> None:
+async def test_read_ahead_is_bounded(system: MeshSystem) -> None:
     ingress, server = await ingress_and_server(system)
     server.backend.work_seconds = 5.0
     _, writer = await send(ingress, b"".join(request(f"p{n}") for n in range(20_000)))
--- a/tests/mesh/test_silent_node.py
+++ b/tests/mesh/test_silent_node.py
@@ -93,7 +93,7 @@
 
 @pytest.mark.parametrize("method", [b"GET", b"POST"])
 @pytest.mark.parametrize("is_under_way", [True, False])
-async def test_leaving_node_does_not_give_up_what_a_silent_node_may_still_run(
+async def test_leaving_node_awaits_a_request_that_a_silent_node_may_still_run(
     system: MeshSystem, method: bytes, is_under_way: bool
 ) -> None:
     """Guards against 502 in place of an answer at which a backend server is at work."""
@@ -127,7 +127,9 @@
     assert len(system.log.named("hop_heard")) == 1
 
 
-async def test_silent_node_answers_what_another_one_has_no_room_for(system: MeshSystem) -> None:
+async def test_silent_node_answers_after_another_node_has_rejected_the_request(
+    system: MeshSystem,
+) -> None:
     """Guards against 502 where the other nodes refuse and the silent one comes back."""
     server, stall, asked = await ask_a_node_that_stands_still(system)
     other = await system.add("shop", data_centre="three")
@@ -139,7 +141,7 @@
     assert len(server.backend.runs) == 1
 
 
-async def test_first_answer_counts_where_another_node_runs_what_a_silent_one_was_sent(
+async def test_first_answer_is_used_if_another_node_runs_the_request_too(
     system: MeshSystem,
 ) -> None:
     _, stall, asked = await ask_a_node_that_stands_still(system)
@@ -151,7 +153,7 @@
     await until(lambda: stall.handled > 0)
 
 
-async def test_silent_node_answers_before_another_one_has_done_the_work(
+async def test_late_answer_cancels_the_attempt_at_another_node(
     system: MeshSystem,
 ) -> None:
     server, stall, asked = await ask_a_node_that_stands_still(system)
@@ -165,7 +167,7 @@
     assert (len(server.backend.runs), len(other.backend.runs)) == (1, 1)
 
 
-async def test_node_that_stood_still_does_not_run_what_was_withdrawn_meanwhile(
+async def test_stalled_node_does_not_run_a_request_that_was_withdrawn(
     system: MeshSystem,
 ) -> None:
     """Guards against runs of requests that were answered elsewhere while a loop stood still."""
@@ -184,7 +186,7 @@
     assert [line["request"] for line in system.log.named("hop_withdrawn")] == ["q"]
 
 
-async def test_node_that_is_gone_is_not_heard_out(system: MeshSystem) -> None:
+async def test_outcome_at_a_stopped_node_is_not_awaited(system: MeshSystem) -> None:
     """What cannot be answered any more is told at once, not held to the target latency."""
     server, stall, asked = await ask_a_node_that_stands_still(system)
     server.node._peers.stop_listening()
@@ -195,7 +197,7 @@
     stall.over.set()
 
 
-async def test_request_runs_on_no_more_backend_servers_than_allowed_while_a_silent_one_may(
+async def test_pending_attempt_counts_towards_the_limit_of_attempts(
     system: MeshSystem,
 ) -> None:
     """Guards against a third run where one of two was not heard from and the other failed."""
--- a/tests/mesh/test_suspension.py
+++ b/tests/mesh/test_suspension.py
@@ -32,7 +32,7 @@
     return suspend
 
 
-async def test_request_that_waited_for_a_slot_is_not_sent_after_it(
+async def test_request_queued_before_a_suspension_is_not_sent_after_it(
     system: MeshSystem, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     suspend = suspender(monkeypatch)
