--- a/src/hoisthook/local_backend/backend_exchange.py
+++ b/src/hoisthook/local_backend/backend_exchange.py
@@ -10,7 +10,7 @@
 from hoisthook.local_backend.exit_detector import LostRequest
 from hoisthook.mesh.buffered_exchange import exchange_buffered
 from hoisthook.mesh.health_reader import CONNECT_SECONDS
-from hoisthook.mesh.health_reader import UNREACHABLE_SECONDS
+from hoisthook.mesh.health_reader import UNREACHABLE_BACKOFF_SECONDS
 from hoisthook.mesh.outcome import CompleteAnswer
 from hoisthook.node.call import Lost
 from hoisthook.node.call import Refused
@@ -117,8 +117,8 @@
         try:
             return await self._pool.open(self._address, CONNECT_SECONDS)
         except UnreachableError:
-            self._observed_backend.unreachable(self._clock.now(), UNREACHABLE_SECONDS)
-            return Refused(ResultCode.UNREACHABLE, UNREACHABLE_SECONDS)
+            self._observed_backend.unreachable(self._clock.now(), UNREACHABLE_BACKOFF_SECONDS)
+            return Refused(ResultCode.UNREACHABLE, UNREACHABLE_BACKOFF_SECONDS)
 
     async def run(
         self,
@@ -230,7 +230,7 @@
     def _read_answer(self, call: RoutedCall, head: AnswerHead, body: bytes) -> Outcome:
         reading = self._wire.read(head)
         if reading.load is not None:
-            self._observed_backend.loaded(reading.load)
+            self._observed_backend.load_reported(reading.load)
             self._running.reported(reading.load.running + reading.load.waiting)
             self._speed.slow_periods.reported(reading.load.slowdown, self._clock.now())
         match reading.kind:
--- a/src/hoisthook/mesh/admitted_exchange.py
+++ b/src/hoisthook/mesh/admitted_exchange.py
@@ -1,4 +1,4 @@
-"""One request to another node, which says that it admits it before it runs it."""
+"""One request to another node, which confirms admission before it executes the request."""
 
 from __future__ import annotations
 
@@ -23,34 +23,36 @@
     from hoisthook.adapter.http.message import AnswerHead
     from hoisthook.mesh.routed_call import RoutedCall
 
-# A node decides within milliseconds, or within the 50 ms of a health check; on a machine whose
-# processor share is used up it stands still for a tenth of a second at most.
+# A node decides within milliseconds, or after a health check of up to 50 ms. On a machine that has
+# used up its CPU quota the process may be suspended for another 100 ms.
 ADMISSION_SECONDS = 0.2
-# A request with little time is not kept for so long: another node can still serve it within its
-# target if the first is given up after this share of what is left of it.
+# Share of the remaining target latency after which an unresponsive node is given up, so that
+# another node can still serve the request within the target.
 ADMISSION_SHARE_OF_TARGET = 0.5
-# Below this a loss is more likely than not a busy node.
+# With a shorter timeout most nodes given up would be busy rather than down.
 MIN_ADMISSION_SECONDS = 0.06
 SILENT_RETRY_SECONDS = 0.05
 
 
 class AdmittedExchange:
-    """Sends a request and waits to hear that it is admitted, then for its answer.
+    """Sends a request, awaits its admission with a timeout, then awaits the answer.
 
-    The body of a request that is held back is sent when the other node asks for it, and its
-    end is what lets that node run it. So a node that is silent, or whose
-    connection breaks before it has asked, has not run the request and never will.
+    The body of a request that is held back is sent only once the other node has admitted the
+    request and asks for the body (``100 Continue``). The other node executes the request only
+    after it has received the end of the body. So a node that does not respond, or whose
+    connection breaks before it has asked for the body, has not executed the request and never
+    will.
 
     Parameters
     ----------
     connection : ClientConnection
-        Idle; closed unless the answer was whole.
+        Idle connection to the other node; closed unless a complete answer is received.
     call : RoutedCall
-        What to run.
+        Request to execute.
     hop : Header
-        What the other node must know besides.
+        Header with the data that the other node needs besides the request itself.
     held_back : bool
-        Whether its end is sent only when the other node asks for it.
+        Whether the body and its end are sent only when the other node asks for them.
     """
 
     def __init__(
@@ -68,32 +70,33 @@
         self._admitted = False
         self._deadline = 0.0
         self._answer: asyncio.Future[AnswerHead]
-        self._going: asyncio.Future[bool]
+        self._continued: asyncio.Future[bool]
 
     async def run(
         self, *, target_left: float, timeout: float
     ) -> tuple[AnswerHead, bytes] | Refused | Lost | None:
-        """Return the answer, or what is known of a request without one.
+        """Return the answer, or the outcome of a request without one.
 
-        None says that it was sent whole and that the other node is silent; it may still run it,
-        so either `await_outcome` or `close` has to follow.
+        None means that the complete request was sent and that the other node did not respond in
+        time. It may still execute the request, so the caller either awaits `await_outcome` or
+        closes the connection.
 
         Parameters
         ----------
         target_left : float
-            Seconds until its target latency is over.
+            Seconds until the target latency of the request has passed.
         timeout : float
-            Seconds until the answer is of no use.
+            Seconds until the deadline of the request.
         """
-        silence = max(MIN_ADMISSION_SECONDS, ADMISSION_SHARE_OF_TARGET * target_left)
+        admission_timeout = max(MIN_ADMISSION_SECONDS, ADMISSION_SHARE_OF_TARGET * target_left)
         self._deadline = asyncio.get_running_loop().time() + timeout
-        return await self._bounded(self._exchange(min(ADMISSION_SECONDS, silence)))
+        return await self._bounded(self._exchange(min(ADMISSION_SECONDS, admission_timeout)))
 
     async def await_outcome(self) -> tuple[AnswerHead, bytes] | Lost:
-        """Return the answer of a node that was silent, or what is known at the deadline."""
-        answered = await self._bounded(self._finish())
-        assert isinstance(answered, tuple | Lost)
-        return answered
+        """Return the late answer of a node that did not respond in time, or the loss of it."""
+        answer = await self._bounded(self._finish())
+        assert isinstance(answer, tuple | Lost)
+        return answer
 
     async def _bounded(
         self, exchange: Coroutine[object, object, tuple[AnswerHead, bytes] | None]
@@ -111,40 +114,43 @@
             self._connection.close()
             raise
 
-    async def _exchange(self, silence: float) -> tuple[AnswerHead, bytes] | None:
+    async def _exchange(self, admission_timeout: float) -> tuple[AnswerHead, bytes] | None:
         connection = self._connection
         self._answer = connection.send(
             self._first_bytes(), bodyless_answer=self._call.method == b"HEAD"
         )
-        self._going = connection.go_ahead()
-        if not await self._hear(silence):
+        self._continued = connection.go_ahead()
+        if not await self._await_admission(admission_timeout):
             if self._held_back:
                 raise TimeoutError
             return None
         return await self._finish()
 
     async def _finish(self) -> tuple[AnswerHead, bytes]:
-        self._admitted = await self._going
+        self._admitted = await self._continued
         if self._held_back:
             self._connection.send_more(self._rest() if self._admitted else LAST_CHUNK)
         head = await self._answer
         return head, await read_buffered(self._connection)
 
-    async def _hear(self, silence: float) -> bool:
-        """Return whether it is known in time if the request is admitted.
+    async def _await_admission(self, admission_timeout: float) -> bool:
+        """Return whether the other node has responded in time, by admission or by an answer.
 
-        A node that keeps it waiting says at once for how long; giving it up before would leave
-        a request unserved that is about to start: 375 of 12,000 answers were 502 in a minute
-        with a restart of all before, 14 after.
+        A node that queues the request announces at once for how long, and the timeout is extended
+        by that time. Without the extension requests were given up shortly before they started: in
+        one minute with a restart of all backend servers 375 of 12,000 answers were 502, against
+        14 with it.
         """
-        going = self._going
+        continued = self._continued
         processing = self._connection.processing()
         await asyncio.wait(
-            (going, processing), timeout=silence, return_when=asyncio.FIRST_COMPLETED
+            (continued, processing), timeout=admission_timeout, return_when=asyncio.FIRST_COMPLETED
         )
-        if not going.done() and processing.done():
-            await asyncio.wait((going,), timeout=wait_of(processing.result()) + ADMISSION_SECONDS)
-        return going.done()
+        if not continued.done() and processing.done():
+            await asyncio.wait(
+                (continued,), timeout=wait_of(processing.result()) + ADMISSION_SECONDS
+            )
+        return continued.done()
 
     def _first_bytes(self) -> bytes:
         call = self._call
--- a/src/hoisthook/mesh/backend_link.py
+++ b/src/hoisthook/mesh/backend_link.py
@@ -1,4 +1,4 @@
-"""Runs requests at the backend server beside, or says truthfully that they were not run."""
+"""Runs requests at the local backend server, or reports that they were not executed."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
     from hoisthook.traffic.traffic_configuration import ServiceTraits
 
 DRAINING_RETRY_SECONDS = 1.0
-# A data centre is taken back without notice; who does not know of its evacuation asks again soon.
+# An evacuation may end at any time, so nodes that do not know of it yet retry soon.
 EVACUATED_RETRY_SECONDS = 0.3
 MIN_RETRY_AFTER_SECONDS = 0.02
 
@@ -58,34 +58,42 @@
     Parameters
     ----------
     address : Address
-        Where it listens.
+        Address at which the backend server listens.
     wire : BackendWire
-        How it is spoken to.
+        Protocol of the backend server.
     pool : ClientPool
-        Connections to it.
+        Connections to the backend server.
     clock : Clock
-        Monotonic, the loop's own.
+        Monotonic, the event loop's own.
     budget : MeasureBudget
-        Bounds the reads of its load.
+        Limits the rate of load reads.
     settings : LinkSettings
-        How it is used.
+        Limits on the use of the backend server.
     crashes : CrashMonitor
-        Told of what ran there as it ended, and of what ran well; refuses.
+        Notified of requests lost in a crash and of successful ones; rejects work that has caused
+        several crashes.
     repeats : RepeatLimit
-        Told of each arrival; refuses.
+        Counts each arrival; rejects repeats beyond the budget.
     log : EventLog
-        Gets a line for each refusal and each loss.
+        Receives a record of each rejected and each lost request.
 
     Attributes
     ----------
     running : RunningRequests
-        What runs there, by which its calls are told.
+        Requests that run at the backend server, used to find the parent request of a call.
+    observed_backend : ObservedBackend
+        State of the backend server.
+    exit_detector : ExitDetector
+        Reports the requests lost through an exit of the backend server.
+    health : HealthReader
+        Reads the health and load of the backend server.
     repeats : RepeatLimit
-        Told of each arrival; refuses.
+        Counts each arrival; rejects repeats beyond the budget.
     leaving : bool
-        Whether only what no other node can start is admitted.
+        Whether only requests that may be queued are admitted: those that no other node can start
+        at once.
     stopping : bool
-        Whether nothing is admitted.
+        Whether all requests are rejected.
     evacuated : bool
         Whether operators have evacuated the data centre; set by `evacuate`.
     """
@@ -129,37 +137,39 @@
         )
         self._admitter = Admitter(self._speed, self.health, budget, settings.usable_share, clock)
         self.observed_backend.on_replaced(self._replaced)
-        self.health.on_cold(self._observed_cold)
+        self.health.on_cold(self._update_cold_state)
         if settings.cold_factor > 0:
-            # Nothing is sent before the operators' rate is known.
+            # No requests are sent to a cold server until the operators' rate is known.
             self.gate.cold.bound(0)
         self._settings = settings
-        self._crashes = crashes
+        self._crash_monitor = crashes
         self.repeats = repeats
         self.exit_detector.on_exit(crashes.ended)
-        self._lines = AdmissionLogger(self.gate, self._speed, self.observed_backend, clock, log)
+        self._admission_logger = AdmissionLogger(
+            self.gate, self._speed, self.observed_backend, clock, log
+        )
         self.leaving = False
         self.stopping = False
         self.evacuated = False
 
     @property
     def gate(self) -> PriorityGate:
-        """Return the slots of the backend server."""
+        """Return the gate that assigns the slots of the backend server."""
         return self._admitter.gate
 
     def announced(self, announcement: Announcement) -> None:
-        """Take in an announcement of the backend server."""
+        """Apply an announcement of the backend server."""
         if self.observed_backend.announced(announcement):
             self.gate.cold.announced(announcement.cold_seconds, self._clock.now())
-        self._adapt()
+        self._update_gate()
 
     def deregistered(self, incarnation: BackendIncarnation) -> None:
-        """Take in that an incarnation of the backend server has left."""
+        """Apply the deregistration of an incarnation of the backend server."""
         self.observed_backend.deregistered(incarnation)
-        self._adapt()
+        self._update_gate()
 
     def apply_traits(self, traits: ServiceTraits | None) -> None:
-        """Take in what operators say about the service."""
+        """Apply the operators' configuration of the service; None if there is none."""
         if traits is not None:
             self.health.path = traits.health_path
         if traits is None:
@@ -167,19 +177,19 @@
         else:
             limit = self._settings.cold_bound(traits.cold_per_second)
             self.gate.cold.bound(limit, traits.cold_seconds)
-        self._adapt()
+        self._update_gate()
 
     def evacuate(self, *, evacuated: bool) -> None:
-        """Admit nothing while the data centre is evacuated; what runs goes on to its end."""
+        """Start or end the evacuation, during which no request is admitted; running ones finish."""
         if evacuated == self.evacuated:
             return
         self.evacuated = evacuated
-        # Where nothing was sent for a while the backend server may have turned cold.
+        # After a time without requests the backend server may have become cold.
         self.gate.cold.forget()
-        self._adapt()
+        self._update_gate()
 
     def load(self) -> NodeLoad:
-        """Return the load as it is now."""
+        """Return the current load."""
         return NodeLoad(
             running=self.gate.running,
             waiting=self.gate.waiting,
@@ -196,28 +206,28 @@
         admitted: Callable[[], Awaitable[None]] | None = None,
         waiting: Callable[[float], None] | None = None,
     ) -> Outcome:
-        """Run a request.
+        """Admit a request and execute it at the backend server.
 
         Parameters
         ----------
         call : RoutedCall
-            What to run.
+            Request to execute.
         admission : Admission
-            Whether it may wait and run slowly.
+            Whether the request may be queued for a slot and be executed slowly.
         admitted : callable, optional
             Awaited once the request has a slot and before it is sent; completes its body.
         waiting : callable, optional
-            Told for how many seconds at most the request is kept waiting for a slot.
+            Called with the maximum queue time in seconds if the request is queued for a slot.
         """
         demand = self._demand(call)
         if self.observed_backend.state is BackendState.UNKNOWN:
             await self._admitter.read()
-            self._adapt()
+            self._update_gate()
         elif self.observed_backend.takes_work:
             await self._admitter.renew(demand)
         may_wait = admission is Admission.QUEUE
         if not may_wait:
-            # Once for each node that is asked; it may come back to wait.
+            # Counted at the direct attempt only: the request may return to this node to be queued.
             self._admitter.arrived(demand)
         refused = self._refuse(call, demand, may_wait=may_wait)
         if refused is None:
@@ -225,14 +235,14 @@
                 call.route, demand, may_wait=may_wait, waiting=waiting
             )
             if admitted_request is not None:
-                self._lines.admitted(call, admitted_request)
+                self._admission_logger.admitted(call, admitted_request)
                 return await self._run_admitted(call, admitted_request, admitted)
             refused = Refused(ResultCode.QUEUE_TIMEOUT, self._time_to_slot(call))
-        self._lines.refused(call, admission, refused)
+        self._admission_logger.refused(call, admission, refused)
         return refused
 
     def close(self) -> None:
-        """Stop what is under way besides requests."""
+        """Cancel all background work; requests are not affected."""
         self.exit_detector.close()
         self.health.close()
         self._admitter.close()
@@ -247,31 +257,31 @@
         if self.evacuated:
             return Refused(ResultCode.DATA_CENTRE_EVACUATED, EVACUATED_RETRY_SECONDS)
         if observed_backend.state is BackendState.UNKNOWN and self.health.path is None:
-            # It may be leaving, and nothing says yet where its health is asked.
+            # It may be draining, and the path of its health check is not known yet.
             return Refused(ResultCode.CONFIGURATION_MISSING, MIN_RETRY_AFTER_SECONDS)
         if not observed_backend.takes_work:
             return Refused(ResultCode.BACKEND_SERVER_DRAINING, DRAINING_RETRY_SECONDS)
-        if now < observed_backend.closed_until:
-            return Refused(ResultCode.UNREACHABLE, observed_backend.closed_until - now)
+        if now < observed_backend.unavailable_until:
+            return Refused(ResultCode.UNREACHABLE, observed_backend.unavailable_until - now)
         if call.time_left(now) <= 0:
             return Refused(ResultCode.DEADLINE_PASSED, 0.0)
-        refused = self._crashes.refuse(call) or self.repeats.refuse(call)
+        refused = self._crash_monitor.refuse(call) or self.repeats.refuse(call)
         if refused is not None:
             return refused
         return _refusal(self._admitter.rule(demand, may_wait=may_wait))
 
-    def _refuse_late(self, call: RoutedCall) -> Refused | None:
-        """Refuse what was admitted before all work here was stopped, and is not sent yet.
+    def _refuse_before_sending(self, call: RoutedCall) -> Refused | None:
+        """Return a refusal for an admitted request that must no longer be sent.
 
-        A body may take half a second to arrive: a request that was admitted before a farewell
-        or an evacuation would be sent that much later. What it asks for is known only with it,
-        and others may have told meanwhile what it does.
+        A body may take half a second to arrive after admission. In that time the backend server
+        may have deregistered or the data centre may have been evacuated. The id of the work is
+        known only with the body, and other nodes may have reported crashes under it meanwhile.
         """
         if self.evacuated:
             return Refused(ResultCode.DATA_CENTRE_EVACUATED, EVACUATED_RETRY_SECONDS)
         if not self.observed_backend.takes_work:
             return Refused(ResultCode.BACKEND_SERVER_DRAINING, DRAINING_RETRY_SECONDS)
-        return self._crashes.refuse(call) or self.repeats.count_or_refuse(call)
+        return self._crash_monitor.refuse(call) or self.repeats.count_or_refuse(call)
 
     def _demand(self, call: RoutedCall) -> Demand:
         return self._admitter.demand(
@@ -294,7 +304,7 @@
             connection = await self._exchanges.connect()
             if isinstance(connection, Refused):
                 return connection
-            refused = self._refuse_late(call)
+            refused = self._refuse_before_sending(call)
             if refused is not None:
                 self._pool.keep(self._address, connection)
                 return refused
@@ -314,32 +324,32 @@
         outcome = exchange_result.outcome
         if isinstance(outcome, CompleteAnswer) and outcome.status < FAILURE_STATUS:
             self._admitter.worked(admitted_request, exchange_result.seconds)
-            self._crashes.request_succeeded(call)
+            self._crash_monitor.request_succeeded(call)
         elif isinstance(outcome, Lost) and outcome.code is ResultCode.DEADLINE_DURING_RUN:
             self._admitter.gave_up(admitted_request, exchange_result.seconds)
-        # The answer may have told of slots, or of another incarnation.
-        self._adapt()
+        # The answer may have changed the number of slots or the incarnation.
+        self._update_gate()
         if isinstance(outcome, Refused) and outcome.code is ResultCode.BACKEND_SERVER_SHED:
             return Refused(outcome.code, self._time_to_slot(call))
         return outcome
 
-    def _adapt(self) -> None:
+    def _update_gate(self) -> None:
         self._admitter.has_slots(self.observed_backend.slots)
         if self.evacuated or not self.observed_backend.takes_work:
             self.gate.refuse_waiting()
         self.gate.admit()
 
     def _replaced(self) -> None:
-        """Drop what was known of the incarnation before, and the connections to it."""
+        """Drop all state of the previous incarnation and the connections to it."""
         self.exit_detector.replaced()
         self._speed.reset()
         self.gate.cold.forget()
         self._pool.forget(self._address)
 
-    def _observed_cold(self, remaining: float, asked_at: float) -> None:
+    def _update_cold_state(self, remaining: float, requested_at: float) -> None:
         now = self._clock.now()
         was_cold = self.gate.cold.is_cold(now)
-        self.gate.cold.observed(remaining, asked_at, now)
+        self.gate.cold.observed(remaining, requested_at, now)
         if was_cold is not (remaining > 0):
             self._log.event(
                 "backend_cold", instance=self.observed_backend.instance, seconds=round(remaining, 2)
--- a/src/hoisthook/mesh/buffered_exchange.py
+++ b/src/hoisthook/mesh/buffered_exchange.py
@@ -1,4 +1,4 @@
-"""One request and its whole answer on one connection."""
+"""One request and its complete, buffered answer on one connection."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
     from hoisthook.adapter.http.message import AnswerHead
     from hoisthook.adapter.http.message import Header
 
-# Answers are held whole so that a broken one can be replaced; far above what services send.
+# Answers are buffered completely so that a broken one can be replaced by that of another attempt.
+# The limit is far above the answers that services send.
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
 BODYLESS_METHODS = frozenset({b"GET", b"HEAD", b"DELETE", b"OPTIONS"})
 
@@ -33,38 +34,38 @@
     piece_timeout: float | None = None,
     accepts: Callable[[AnswerHead], bool] | None = None,
 ) -> tuple[AnswerHead, bytes] | Lost:
-    """Send a request and return its answer's head and body.
+    """Send a request and return the head and the body of its answer.
 
-    The connection is dropped unless the answer was whole; nothing is sent twice.
+    The connection is closed unless a complete answer is received. Nothing is sent twice.
 
     Parameters
     ----------
     connection : ClientConnection
-        Idle.
+        Idle connection.
     method, target : bytes
-        Of the request.
+        Method and target of the request.
     headers : list of Header
-        All but the framing.
+        All headers except for the framing.
     body : bytes
-        Whole.
+        Complete body.
     timeout : float
-        Seconds until the answer is of no use; where pieces have a time of their own, until its
-        head is.
+        Seconds until the complete answer must have arrived; with ``piece_timeout``, until its
+        head must have arrived.
     piece_timeout : float, optional
-        Seconds for each piece of the body: a large answer on a narrow link goes on for as long
-        as it arrives, rather than being asked for again while it is under way.
+        Seconds for each piece of the body. A large answer on a slow link may then take as long as
+        it keeps arriving, rather than being requested again while it is in transit.
     accepts : callable, optional
-        Tells whether an answer belongs to this request.
+        Returns whether an answer belongs to this request.
     """
     framed = list(headers)
     if body or method not in BODYLESS_METHODS:
         framed.append((b"content-length", b"%d" % len(body)))
     data = encode_request_head(method, target, framed) + body
     try:
-        async with asyncio.timeout(timeout) as bound:
+        async with asyncio.timeout(timeout) as time_limit:
             head = await connection.send(data, bodyless_answer=method == b"HEAD", accepts=accepts)
             if piece_timeout is not None:
-                bound.reschedule(None)
+                time_limit.reschedule(None)
             return head, await read_buffered(connection, piece_timeout)
     except TimeoutError:
         connection.close()
@@ -78,12 +79,12 @@
 
 
 async def read_buffered(connection: ClientConnection, piece_timeout: float | None = None) -> bytes:
-    """Return the rest of an answer's body.
+    """Return the rest of the body of an answer.
 
     Parameters
     ----------
     connection : ClientConnection
-        Whose answer's head has been read.
+        Connection on which the head of the answer has been read.
     piece_timeout : float, optional
         Seconds within which each piece must arrive.
 
@@ -92,7 +93,7 @@
     TimeoutError
         If a piece does not arrive in time.
     BrokenExchangeError
-        If it ends early or is larger than what is held.
+        If the body ends early or is larger than `MAX_ANSWER_BYTES`.
     """
     body = connection.body
     data = body.take_buffered()
@@ -100,5 +101,5 @@
         async with asyncio.timeout(piece_timeout):
             data += await body.read()
         if len(data) > MAX_ANSWER_BYTES:
-            raise BrokenExchangeError("answer too large to hold")
+            raise BrokenExchangeError("answer body exceeds the limit of 16 MiB")
     return data
--- a/src/hoisthook/mesh/health_reader.py
+++ b/src/hoisthook/mesh/health_reader.py
@@ -1,4 +1,4 @@
-"""Reads the health and load of the backend server beside."""
+"""Reads the health and load of the local backend server."""
 
 from __future__ import annotations
 
@@ -22,37 +22,42 @@
     from hoisthook.port.clock import Clock
     from hoisthook.port.event_log import EventLog
 
-# The backend server is on the same instance, where a connection takes about a millisecond.
+# The backend server runs on the same instance, where a connection takes about a millisecond.
 CONNECT_SECONDS = 0.1
-# Health is answered at once, whatever the load; a later answer is no use to whoever waits.
+# Health checks are answered at once under any load, and requests wait for the answer.
 ANSWER_SECONDS = 0.05
-# How long a backend server that refuses connections is left alone.
-UNREACHABLE_SECONDS = 0.3
+# Time for which a backend server that refuses connections is sent no requests.
+UNREACHABLE_BACKOFF_SECONDS = 0.3
 UNHEALTHY_STATUS = 500
 OK = 200
 
 
 class HealthReader:
-    """One read at a time, shared by all that ask meanwhile.
+    """Reads the health of the backend server, one read at a time shared by all that wait for it.
 
     Parameters
     ----------
     address : Address
-        The backend server's.
+        Address of the backend server.
     wire : BackendWire
-        Reads its answers.
+        Parser of its answers.
     pool : ClientPool
         Connections to it.
     observed_backend : ObservedBackend
-        Gets the state that is read.
+        Notified of the state that is read.
     speed : ServerSpeed
-        Gets the load that is read.
+        Notified of the slowdown that is read.
     running : RunningRequests
-        Told when nothing runs there.
+        Notified of the number of requests at the backend server.
     clock : Clock
         Monotonic.
     log : EventLog
-        Gets a line for a read that is not answered.
+        Receives a record of each read that is not answered in time.
+
+    Attributes
+    ----------
+    path : str or None
+        Path of the health check, set by the owner; None, and nothing is read, until it is known.
     """
 
     def __init__(
@@ -74,29 +79,29 @@
         self._running = running
         self._clock = clock
         self._log = log
-        self._reading: asyncio.Task[None] | None = None
+        self._read_task: asyncio.Task[None] | None = None
         self._on_cold: Callable[[float, float], None] | None = None
         self.path: str | None = None
 
     def on_cold(self, listener: Callable[[float, float], None]) -> None:
-        """Have ``listener`` told for how long the server is cold, and when it was asked."""
+        """Register a listener for the remaining cold seconds and the time of the health check."""
         self._on_cold = listener
 
     @property
     def is_reading(self) -> bool:
-        """Return whether a read is under way."""
-        return self._reading is not None and not self._reading.done()
+        """Return whether a read is in progress."""
+        return self._read_task is not None and not self._read_task.done()
 
     async def read(self) -> None:
-        """Read once, or wait for the read under way."""
-        if self._reading is None or self._reading.done():
-            self._reading = asyncio.get_running_loop().create_task(self._read())
-        await asyncio.shield(self._reading)
+        """Read once, or wait for the read in progress."""
+        if self._read_task is None or self._read_task.done():
+            self._read_task = asyncio.get_running_loop().create_task(self._read())
+        await asyncio.shield(self._read_task)
 
     def close(self) -> None:
-        """Stop a read that is under way."""
-        if self._reading is not None:
-            self._reading.cancel()
+        """Cancel a read in progress."""
+        if self._read_task is not None:
+            self._read_task.cancel()
 
     async def _read(self) -> None:
         if self.path is None:
@@ -104,10 +109,10 @@
         try:
             connection = await self._pool.acquire(self._address, CONNECT_SECONDS)
         except UnreachableError:
-            self._observed_backend.unreachable(self._clock.now(), UNREACHABLE_SECONDS)
+            self._observed_backend.unreachable(self._clock.now(), UNREACHABLE_BACKOFF_SECONDS)
             return
-        asked_at = self._clock.now()
-        answered = await exchange_buffered(
+        requested_at = self._clock.now()
+        answer = await exchange_buffered(
             connection,
             b"GET",
             self.path.encode(),
@@ -116,20 +121,20 @@
             timeout=ANSWER_SECONDS,
             accepts=self._wire.answers_health,
         )
-        if isinstance(answered, Lost):
+        if isinstance(answer, Lost):
             self._log.event("health_unanswered", instance=self._observed_backend.instance)
             return
         self._pool.keep(self._address, connection)
-        head, _ = answered
+        head, _ = answer
         reading = self._wire.read(head)
         if head.status >= UNHEALTHY_STATUS:
-            self._observed_backend.refused_health()
+            self._observed_backend.reported_unhealthy()
         elif reading.instance is not None:
             self._observed_backend.answered_as(reading.instance)
-        # A refusal for want of a slot says nothing of cold, also where the server is.
+        # An answer that refuses for lack of slots may leave out that the server is cold.
         if self._on_cold is not None and (head.status == OK or reading.cold_seconds > 0):
-            self._on_cold(reading.cold_seconds, asked_at)
+            self._on_cold(reading.cold_seconds, requested_at)
         if reading.load is not None:
-            self._observed_backend.loaded(reading.load)
+            self._observed_backend.load_reported(reading.load)
             self._running.reported(reading.load.running + reading.load.waiting)
             self._speed.slow_periods.reported(reading.load.slowdown, self._clock.now())
--- a/src/hoisthook/mesh/hop_server.py
+++ b/src/hoisthook/mesh/hop_server.py
@@ -1,4 +1,4 @@
-"""Serves requests that other nodes send to the backend server beside this one."""
+"""Serves requests that other nodes send to the local backend server."""
 
 from __future__ import annotations
 
@@ -28,27 +28,28 @@
 
 _FRAMING = frozenset({b"content-length"})
 NO_RETRY_AFTER = 0.0
-# A body whose sender stands still holds a slot; a lost packet is sent again within this.
+# Timeout for each piece of a request body. A stalled body occupies a slot; a lost packet is
+# retransmitted within this time.
 PIECE_SECONDS = 0.5
 
 
 class HopServer:
-    """Admits other nodes' requests beside the backend server.
+    """Serves hops: requests of other nodes for the local backend server.
 
     Parameters
     ----------
     service : ServiceName
-        What the backend server beside serves.
+        Service of the local backend server.
     local_backend : BackendLink
-        Runs them.
+        Admits and executes the requests.
     sync : PeerSync
-        Told of the configuration that the sender has.
+        Notified of the configuration version of each sender.
     link_pacer : LinkPacer
-        When large answers go out.
+        Paces the sending of large answers.
     clock : Clock
-        Monotonic, the loop's own.
+        Monotonic, the event loop's own.
     log : EventLog
-        Gets a line for a request whose body did not arrive.
+        Receives a record of each request whose body did not arrive or that was withdrawn.
     """
 
     def __init__(
@@ -68,19 +69,20 @@
         self._log = log
 
     async def handle(self, exchange: ServerExchange) -> None:
-        """Serve one request of another node."""
+        """Serve one request from another node."""
         try:
             await self._serve(exchange)
         except (BrokenExchangeError, TimeoutError) as error:
-            # The request has not run; the sender knows by the end of the connection.
+            # The request was not executed; closing the connection informs the sender.
             self._log.decision("hop_cut", peer=exchange.peer[0], reason=repr(error))
             exchange.abort()
 
     async def _serve(self, exchange: ServerExchange) -> None:
-        """Run a request, unless its sender has withdrawn it before this node looked at it.
+        """Execute a request, unless its sender has withdrawn it before this node processed it.
 
-        Load pattern: the loop of a node stands still, and other nodes run meanwhile what was sent
-        here. Those requests and the ends of their connections are all read at once afterwards.
+        This guards against duplicate execution after a stall: while the event loop of this node is
+        blocked, other nodes execute the requests that were sent here. Afterwards those requests and
+        the closing of their connections are read at the same time.
         """
         received = self._clock.now()
         header = HopHeader.decode(exchange.head.get(hop_header.HOP) or b"")
@@ -96,7 +98,8 @@
         call.is_complete = not held_back
         if not held_back:
             call.body = await exchange.body.read_all(piece_timeout=PIECE_SECONDS)
-            # What came while the loop stood still is read one piece a turn.
+            # Data that arrived during a stall is read one piece in each loop iteration, so a closed
+            # connection is noticed only in the next one.
             await asyncio.sleep(0)
             if exchange.gone:
                 self._log.decision("hop_withdrawn", request=call.request_id, peer=exchange.peer[0])
@@ -116,21 +119,25 @@
             call, header.admission, admitted=admitted, waiting=waiting
         )
         await self._answer(
-            exchange, outcome, owes=self._local_backend.repeats.is_over_budget_for(call)
+            exchange,
+            outcome,
+            over_budget=self._local_backend.repeats.is_over_budget_for(call),
         )
 
     async def _answer(
-        self, exchange: ServerExchange, outcome: Outcome, *, owes: bool = False
+        self, exchange: ServerExchange, outcome: Outcome, *, over_budget: bool = False
     ) -> None:
-        told = dataclasses.replace(
-            self._local_backend.load(), configuration=self._sync.version, over_repeat_budget=owes
+        load = dataclasses.replace(
+            self._local_backend.load(),
+            configuration=self._sync.version,
+            over_repeat_budget=over_budget,
         )
-        load = (hop_header.LOAD, told.encode())
+        load_header = (hop_header.LOAD, load.encode())
         if isinstance(outcome, CompleteAnswer):
-            headers = [*outcome.headers, load]
+            headers = [*outcome.headers, load_header]
             await exchange.respond_paced(outcome.status, headers, outcome.body, self._link_pacer)
             return
-        headers = [load, (hop_header.RESULT, b"%d" % outcome.code.number)]
+        headers = [load_header, (hop_header.RESULT, b"%d" % outcome.code.number)]
         if isinstance(outcome, Refused):
             millis = int(outcome.retry_after * hop_header.MILLIS)
             headers.append((hop_header.RETRY_AFTER_MS, b"%d" % millis))
--- a/src/hoisthook/mesh/node_load.py
+++ b/src/hoisthook/mesh/node_load.py
@@ -1,4 +1,4 @@
-"""What the node beside a backend server tells the others about its load."""
+"""The load of a backend server as its node reports it to other nodes."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeLoad:
-    """Load at one moment.
+    """Load of a backend server at one point in time.
 
     Attributes
     ----------
     running : int
-        Requests that hold a slot.
+        Number of requests that hold a slot.
     waiting : int
-        Requests that wait for one.
+        Number of requests in the queue for a slot.
     limit : int
-        How many may run.
+        Number of requests that may run at once.
     slowdown : float
-        How many times its usual time work takes there.
+        Ratio of the present service time to the usual one.
     failing : float
         Share of recent answers that failed, 0 to 1.
     configuration : int
-        Version in force at the node; -1 for none.
+        Configuration version in force at the node; -1 for none.
     over_repeat_budget : bool
-        Whether calls of repeated runs have used up more than is left there for repeats.
+        Whether calls made by repeats have used up more than the repeat budget of the node.
     """
 
     running: int
@@ -39,7 +39,7 @@
     over_repeat_budget: bool = False
 
     def encode(self) -> bytes:
-        """Return the header's value; shares and factors in per cent."""
+        """Return the load as a header value, with shares and ratios in per cent."""
         slowdown = round(self.slowdown * PERCENT)
         failing = round(self.failing * PERCENT)
         return b"%d %d %d %d %d %d %d" % (
@@ -54,11 +54,19 @@
 
     @classmethod
     def decode(cls, value: bytes) -> NodeLoad | None:
-        """Return the load, or None if the value is none."""
+        """Return the load from a header value, or None if the value is malformed."""
         parts = value.split()
         if len(parts) != FIELDS or not all(part.isdigit() for part in parts):
             return None
-        running, waiting, limit, slowdown, failing, version, owes = (int(part) for part in parts)
+        running, waiting, limit, slowdown, failing, version, over_budget = (
+            int(part) for part in parts
+        )
         return cls(
-            running, waiting, limit, slowdown / PERCENT, failing / PERCENT, version - 1, owes > 0
+            running,
+            waiting,
+            limit,
+            slowdown / PERCENT,
+            failing / PERCENT,
+            version - 1,
+            over_budget > 0,
         )
--- a/src/hoisthook/mesh/observed_backend.py
+++ b/src/hoisthook/mesh/observed_backend.py
@@ -1,4 +1,4 @@
-"""What a node believes of the backend server beside it."""
+"""State of the local backend server as its node observes it."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
     from hoisthook.port.backend_wire import BackendLoad
     from hoisthook.port.event_log import EventLog
 
-# Former incarnations whose late announcements are told apart; more than live within a minute.
-MAX_FORMER = 16
-# Answers by which a failing backend server is recognised.
+# Former incarnations whose late announcements are recognised; more than start within a minute.
+MAX_FORMER_INCARNATIONS = 16
+# Number of recent answers over which the share of failures is computed.
 RECENT_ANSWERS = 12
-# Below this many answers the failing share is not judged.
+# With fewer answers the share of failures is taken to be 0.
 MIN_JUDGED_ANSWERS = 4
-# Requests dropped in a row, each as soon as it was sent, after which nothing works there. One or
-# two may fall to a connection that was idle or to a moment in which the server was full.
+# Consecutive requests dropped as soon as they were sent, after which the backend server counts as
+# unavailable. One or two may be due to a stale idle connection or a briefly overloaded server.
 MAX_DROPPED_IN_A_ROW = 3
-# How long it is left alone then, doubled up to the most while the first request after it is
-# dropped too: a server that restarts is back within a second or so.
-FIRST_DROPPED_SECONDS = 0.15
-MAX_DROPPED_SECONDS = 0.6
+# Time for which it is then sent no requests, doubled up to the maximum as long as the first request
+# afterwards is dropped too. A restarting server is available again within about a second.
+INITIAL_DROPPED_BACKOFF_SECONDS = 0.15
+MAX_DROPPED_BACKOFF_SECONDS = 0.6
 
 
 class BackendState(Enum):
-    """States of the backend server beside."""
+    """States of the local backend server."""
 
     UNKNOWN = "unknown"
     READY = "ready"
@@ -43,22 +43,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Announcement:
-    """What a backend server says of itself.
+    """An announcement by which a backend server reports its state.
 
     Attributes
     ----------
     instance : InstanceId
-        Its incarnation.
+        Id of its incarnation.
     sequence : int
-        Rises with each announcement of an incarnation.
+        Sequence number, which increases with each announcement of an incarnation.
     draining : bool
-        Whether it takes no new work.
+        Whether it takes no new requests.
     slots : int
-        What it can run at once.
+        Number of requests that it can run at once.
     cold_seconds : float
-        How much longer it is slow after its start.
+        Remaining seconds of its cold start, in which it is slow.
     born : int or None
-        Unix milliseconds of its start; None if it does not say.
+        Unix milliseconds of its start; None if it does not report them.
     """
 
     instance: InstanceId
@@ -70,47 +70,56 @@
 
     @property
     def incarnation(self) -> BackendIncarnation:
-        """Return which incarnation it speaks of."""
+        """Return the incarnation that sent it."""
         return BackendIncarnation(self.instance, self.born)
 
 
 @dataclass(frozen=True, slots=True)
-class _Former:
-    """An incarnation that is not the current one, and the state in which it was."""
+class _FormerIncarnation:
+    """An incarnation other than the current one, and its last known state."""
 
     incarnation: BackendIncarnation
     state: BackendState
 
 
 class ObservedBackend:
-    """State, incarnation, load and recent failures; times on the node's clock.
+    """State, incarnation, slots and recent failures of the local backend server.
 
     Parameters
     ----------
     log : EventLog
-        Gets a line for each change of state or incarnation.
+        Receives a record of each change of state or incarnation.
+
+    Attributes
+    ----------
+    state : BackendState
+        Last known state.
+    slots : int
+        Number of requests that it can run at once, as last reported; 0 until it is known.
+    unavailable_until : float
+        Time until which it is sent no requests, on the node's clock.
     """
 
     def __init__(self, log: EventLog) -> None:
         self._log = log
-        self._former: dict[InstanceId, _Former] = {}
+        self._former_by_instance: dict[InstanceId, _FormerIncarnation] = {}
         self._current: BackendIncarnation | None = None
         self._on_replaced: list[Callable[[], None]] = []
         self._sequence = -1
-        self._failed: deque[bool] = deque(maxlen=RECENT_ANSWERS)
+        self._recent_failures: deque[bool] = deque(maxlen=RECENT_ANSWERS)
         self._dropped_in_a_row = 0
-        self._dropped_seconds = FIRST_DROPPED_SECONDS
+        self._dropped_backoff = INITIAL_DROPPED_BACKOFF_SECONDS
         self.state = BackendState.UNKNOWN
         self.slots = 0
-        self.closed_until = -math.inf
+        self.unavailable_until = -math.inf
 
     @property
     def instance(self) -> InstanceId | None:
-        """Return the id of the incarnation that is believed to answer; None if none is known."""
+        """Return the id of the current incarnation; None if none is known."""
         return None if self._current is None else self._current.instance
 
     def on_replaced(self, listener: Callable[[], None]) -> None:
-        """Have ``listener`` called when another incarnation has taken the place of one."""
+        """Register ``listener`` to be called when an incarnation becomes the current one."""
         self._on_replaced.append(listener)
 
     @property
@@ -120,38 +129,42 @@
 
     @property
     def failing(self) -> float:
-        """Return the share of recent answers that failed; 0 while there are few."""
-        if len(self._failed) < MIN_JUDGED_ANSWERS:
+        """Return the share of recent answers that failed; 0 if there are too few."""
+        if len(self._recent_failures) < MIN_JUDGED_ANSWERS:
             return 0.0
-        return sum(self._failed) / len(self._failed)
+        return sum(self._recent_failures) / len(self._recent_failures)
 
     def announced(self, announcement: Announcement) -> bool:
-        """Take in an announcement; return whether it is newer than what is known.
+        """Apply an announcement; return whether it is newer than the known state.
 
-        A later life under the same id begins anew: it counts its announcements from the start,
-        and neither the drain nor the farewell of the one before binds it. What was said by the
-        one before and arrives late changes nothing.
+        A later incarnation under the same id starts with a new sequence, and neither the drain nor
+        the deregistration of the earlier one applies to it. Late announcements of the earlier
+        incarnation are ignored.
         """
-        said = announcement.incarnation
-        former = self._former.get(said.instance)
-        if former is not None and not said.is_later_than(former.incarnation):
+        incarnation = announcement.incarnation
+        former = self._former_by_instance.get(incarnation.instance)
+        if former is not None and not incarnation.is_later_than(former.incarnation):
             return False
         current = self._current
-        if current is None or said.instance != current.instance or said.is_later_than(current):
-            self._replace(said, "announced")
-        elif current.is_later_than(said) or announcement.sequence <= self._sequence:
+        if (
+            current is None
+            or incarnation.instance != current.instance
+            or incarnation.is_later_than(current)
+        ):
+            self._replace(incarnation, "announced")
+        elif current.is_later_than(incarnation) or announcement.sequence <= self._sequence:
             return False
         elif current.born is None:
-            # Known by its answers before; they bear no time of birth.
-            self._current = said
+            # Known only from its answers so far, which do not carry the time of its start.
+            self._current = incarnation
         self._sequence = announcement.sequence
         self.slots = announcement.slots
         state = BackendState.DRAINING if announcement.draining else BackendState.READY
-        self._enter(state, sequence=announcement.sequence)
+        self._set_state(state, sequence=announcement.sequence)
         return True
 
     def deregistered(self, incarnation: BackendIncarnation) -> None:
-        """Note that an incarnation has left for good; a later one under its id has not."""
+        """Record the deregistration of an incarnation; later ones under its id are unaffected."""
         current = self._current
         if current is not None and current.is_later_than(incarnation):
             return
@@ -159,68 +172,68 @@
             if incarnation.born is None and current is not None:
                 incarnation = current
             self._current = incarnation
-            self._enter(BackendState.GONE)
-        self._remember(incarnation, BackendState.GONE)
+            self._set_state(BackendState.GONE)
+        self._record_former(incarnation, BackendState.GONE)
 
     def answered_as(self, instance: InstanceId) -> None:
-        """Note which incarnation answers at the address.
+        """Record which incarnation answers at the address.
 
-        One that answers is not former, whatever a late announcement of its predecessor made
-        believe; it is in the state in which it was. Only a farewell is for good.
+        An incarnation that answers becomes the current one, with its last known state, even if a
+        late announcement of its predecessor had replaced it. Only a deregistration is final.
         """
-        former = self._former.get(instance)
+        former = self._former_by_instance.get(instance)
         state = BackendState.READY if former is None else former.state
         if instance != self.instance and state is not BackendState.GONE:
             known = BackendIncarnation(instance) if former is None else former.incarnation
             self._replace(known, "answered")
-            self._enter(state)
+            self._set_state(state)
 
-    def refused_health(self) -> None:
-        """Note that the backend server calls itself unhealthy before it was heard of."""
+    def reported_unhealthy(self) -> None:
+        """Set an unhealthy backend server to draining while its state is unknown."""
         if self.state is BackendState.UNKNOWN:
-            self._enter(BackendState.DRAINING)
+            self._set_state(BackendState.DRAINING)
 
-    def loaded(self, load: BackendLoad) -> None:
-        """Take in how many slots a load report tells of."""
+    def load_reported(self, load: BackendLoad) -> None:
+        """Apply the number of slots in a load report."""
         if load.slots > 0:
             self.slots = load.slots
 
     def answered(self, *, failed: bool) -> None:
-        """Note the outcome of one request that it worked on."""
-        self._failed.append(failed)
+        """Record the outcome of a request that the backend server worked on."""
+        self._recent_failures.append(failed)
         self._dropped_in_a_row = 0
-        self._dropped_seconds = FIRST_DROPPED_SECONDS
+        self._dropped_backoff = INITIAL_DROPPED_BACKOFF_SECONDS
 
     def dropped(self, now: float) -> None:
-        """Note a request whose connection was dropped as soon as it was sent.
+        """Record a request whose connection was dropped as soon as it was sent.
 
-        After a few in a row it is left alone, so that requests are refused as not run
-        rather than lost one after the other.
+        After several consecutive ones the backend server counts as unavailable for a while, so that
+        requests are rejected as not executed rather than lost one after the other.
         """
-        self._failed.append(True)
-        if now < self.closed_until:
+        self._recent_failures.append(True)
+        if now < self.unavailable_until:
             return
         self._dropped_in_a_row += 1
         if self._dropped_in_a_row >= MAX_DROPPED_IN_A_ROW:
-            self.unreachable(now, self._dropped_seconds)
-            self._dropped_seconds = min(MAX_DROPPED_SECONDS, 2.0 * self._dropped_seconds)
+            self.unreachable(now, self._dropped_backoff)
+            self._dropped_backoff = min(MAX_DROPPED_BACKOFF_SECONDS, 2.0 * self._dropped_backoff)
 
     def unreachable(self, now: float, seconds: float) -> None:
-        """Note that no connection could be opened; leave it alone for a while."""
-        self.closed_until = now + seconds
+        """Mark the backend server as unavailable for some seconds."""
+        self.unavailable_until = now + seconds
         self._log.event("backend_unreachable", instance=self.instance, closed_for=seconds)
 
     def _replace(self, incarnation: BackendIncarnation, how: str) -> None:
         before = self._current
         if before is not None and before.instance != incarnation.instance:
-            self._remember(before, self.state)
-        self._former.pop(incarnation.instance, None)
+            self._record_former(before, self.state)
+        self._former_by_instance.pop(incarnation.instance, None)
         self._current = incarnation
         self._sequence = -1
-        self._failed.clear()
+        self._recent_failures.clear()
         self._dropped_in_a_row = 0
-        self._dropped_seconds = FIRST_DROPPED_SECONDS
-        self.closed_until = -math.inf
+        self._dropped_backoff = INITIAL_DROPPED_BACKOFF_SECONDS
+        self.unavailable_until = -math.inf
         self._log.event(
             "backend_instance",
             instance=incarnation.instance,
@@ -231,18 +244,18 @@
         for listener in self._on_replaced:
             listener()
 
-    def _remember(self, incarnation: BackendIncarnation, state: BackendState) -> None:
-        # A farewell is kept whatever follows from the same life.
-        former = self._former.get(incarnation.instance)
+    def _record_former(self, incarnation: BackendIncarnation, state: BackendState) -> None:
+        # A deregistration stays in force whatever arrives later from the same incarnation.
+        former = self._former_by_instance.get(incarnation.instance)
         if former is not None and former.incarnation.is_later_than(incarnation):
             return
         is_final = former is not None and former.state is BackendState.GONE
         if former is None or not is_final or incarnation.is_later_than(former.incarnation):
-            self._former[incarnation.instance] = _Former(incarnation, state)
-        while len(self._former) > MAX_FORMER:
-            del self._former[next(iter(self._former))]
+            self._former_by_instance[incarnation.instance] = _FormerIncarnation(incarnation, state)
+        while len(self._former_by_instance) > MAX_FORMER_INCARNATIONS:
+            del self._former_by_instance[next(iter(self._former_by_instance))]
 
-    def _enter(self, state: BackendState, **fields: object) -> None:
+    def _set_state(self, state: BackendState, **fields: object) -> None:
         if state is self.state:
             return
         before = self.state
--- a/src/hoisthook/mesh/outcome.py
+++ b/src/hoisthook/mesh/outcome.py
@@ -1,4 +1,4 @@
-"""What can become of a request at a backend server."""
+"""Possible outcomes of a request at a backend server."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 @dataclass(frozen=True, slots=True)
 class CompleteAnswer:
-    """A backend server's answer that arrived whole.
+    """A backend server's answer that arrived completely.
 
     Attributes
     ----------
     status : int
-        Its own.
+        HTTP status.
     headers : list of Header
-        End to end, without the framing.
+        End-to-end headers without the framing.
     body : bytes
-        All of it.
+        Complete body.
     """
 
     status: int
@@ -34,17 +34,18 @@
 
 
 Outcome = CompleteAnswer | Refused | Lost
-"""Answered; truly not run; or sent, with nothing known of what became of it."""
+"""A complete answer; certainly not executed; or sent without a known outcome."""
 
 
 @dataclass(frozen=True, slots=True)
 class PendingOutcome:
-    """Sent whole to a node that has not said yet whether it runs it.
+    """A request sent completely to a node that has not yet responded, and may execute it.
 
     Attributes
     ----------
     outcome_task : asyncio.Task of Outcome
-        Ends with what is heard, or with the deadline; cancelling it withdraws the request.
+        Returns the outcome once it is known, at the deadline of the request at the latest;
+        cancelling the task withdraws the request.
     """
 
     outcome_task: asyncio.Task[Outcome]
--- a/tests/mesh/test_admission.py
+++ b/tests/mesh/test_admission.py
@@ -1,3 +1,5 @@
+"""Admission of requests at other nodes, among them nodes that are silent or drop requests."""
+
 from __future__ import annotations
 
 import asyncio
@@ -24,15 +26,15 @@
 BODY = b"amount=5&" * 100
 
 
-class OddPeer:
-    """A node that reads what it is sent and does as it is told with it.
+class FaultyPeer:
+    """A node that reads requests and then stays silent, drops them or sends a fixed answer.
 
     Attributes
     ----------
     received : bytearray
-        All that was sent to it.
+        All bytes that were sent to it.
     connections : int
-        How many were opened.
+        Number of connections opened to it.
     """
 
     def __init__(self, *, answer: bytes = b"", drops: bool = False) -> None:
@@ -49,7 +51,7 @@
         return f"{host}:{port}"
 
     def close(self) -> None:
-        """Take no more connections."""
+        """Accept no more connections."""
         if self._server is not None:
             self._server.close()
 
@@ -66,142 +68,142 @@
 
 
 @pytest.fixture
-async def odd_peers() -> AsyncIterator[list[OddPeer]]:
-    peers: list[OddPeer] = []
+async def faulty_peers() -> AsyncIterator[list[FaultyPeer]]:
+    peers: list[FaultyPeer] = []
     yield peers
     for peer in peers:
         peer.close()
 
 
 async def ingress_with(
-    system: MeshSystem, peers: list[OddPeer], odd: OddPeer, *, safe: bool
+    system: MeshSystem, peers: list[FaultyPeer], faulty: FaultyPeer, *, safe: bool
 ) -> tuple[Machine, Machine]:
-    """Return an entry whose nearest node of the service is ``odd``, and a sound node far away."""
-    peers.append(odd)
+    """Return an ingress node whose nearest target is ``faulty``, and a healthy node far away."""
+    peers.append(faulty)
     ingress = await system.add("front")
-    sound = await system.add("shop", data_centre="two")
+    healthy = await system.add("shop", data_centre="two")
     system.introduce_all()
-    me = Peer(NodeId("odd"), await odd.start(), ServiceName("shop"), DataCentre("one"))
-    ingress.node.directory.merge([me], "test")
+    faulty_peer = Peer(NodeId("odd"), await faulty.start(), ServiceName("shop"), DataCentre("one"))
+    ingress.node.directory.merge([faulty_peer], "test")
     system.publish(1, RouteOptions("shop", safe=safe))
     await system.until_configured(1)
-    return ingress, sound
+    return ingress, healthy
 
 
 async def test_nonrepeatable_request_moves_from_a_silent_node_to_another(
-    system: MeshSystem, odd_peers: list[OddPeer]
+    system: MeshSystem, faulty_peers: list[FaultyPeer]
 ) -> None:
-    odd = OddPeer()
-    ingress, sound = await ingress_with(system, odd_peers, odd, safe=False)
+    faulty = FaultyPeer()
+    ingress, healthy = await ingress_with(system, faulty_peers, faulty, safe=False)
     status, _, body = await system.call(ingress, method=b"POST", body=BODY, request_id="once")
     assert (status, body) == (200, b"body of once")
-    assert [run.body for run in sound.backend.arrivals] == [BODY]
-    assert odd.received
-    assert BODY not in odd.received
+    assert [run.body for run in healthy.backend.arrivals] == [BODY]
+    assert faulty.received
+    assert BODY not in faulty.received
 
 
 async def test_nonrepeatable_request_moves_on_from_a_node_that_drops_it_unread(
-    system: MeshSystem, odd_peers: list[OddPeer]
+    system: MeshSystem, faulty_peers: list[FaultyPeer]
 ) -> None:
-    odd = OddPeer(drops=True)
-    ingress, sound = await ingress_with(system, odd_peers, odd, safe=False)
+    faulty = FaultyPeer(drops=True)
+    ingress, healthy = await ingress_with(system, faulty_peers, faulty, safe=False)
     status, _, _ = await system.call(ingress, method=b"POST", body=BODY)
     assert status == 200
-    assert len(sound.backend.arrivals) == 1
+    assert len(healthy.backend.arrivals) == 1
 
 
 async def test_request_without_a_body_is_held_back_too(
-    system: MeshSystem, odd_peers: list[OddPeer]
+    system: MeshSystem, faulty_peers: list[FaultyPeer]
 ) -> None:
-    odd = OddPeer()
-    ingress, sound = await ingress_with(system, odd_peers, odd, safe=False)
+    faulty = FaultyPeer()
+    ingress, healthy = await ingress_with(system, faulty_peers, faulty, safe=False)
     status, _, _ = await system.call(ingress, method=b"DELETE")
     assert status == 200
-    assert len(sound.backend.arrivals) == 1
-    assert not odd.received.endswith(b"0\r\n\r\n")
+    assert len(healthy.backend.arrivals) == 1
+    assert not faulty.received.endswith(b"0\r\n\r\n")
 
 
 async def test_repeatable_request_moves_from_a_silent_node_to_another(
-    system: MeshSystem, odd_peers: list[OddPeer]
+    system: MeshSystem, faulty_peers: list[FaultyPeer]
 ) -> None:
-    odd = OddPeer()
-    ingress, sound = await ingress_with(system, odd_peers, odd, safe=True)
+    faulty = FaultyPeer()
+    ingress, healthy = await ingress_with(system, faulty_peers, faulty, safe=True)
     status, _, _ = await system.call(ingress)
     assert status == 200
-    assert len(sound.backend.arrivals) == 1
+    assert len(healthy.backend.arrivals) == 1
 
 
 @pytest.mark.parametrize("attempts", [1, 3])
 async def test_loss_before_admission_spends_no_budget_and_no_attempt(
-    system: MeshSystem, odd_peers: list[OddPeer], attempts: int
+    system: MeshSystem, faulty_peers: list[FaultyPeer], attempts: int
 ) -> None:
-    odd = OddPeer(drops=True)
-    ingress, sound = await ingress_with(system, odd_peers, odd, safe=True)
+    faulty = FaultyPeer(drops=True)
+    ingress, healthy = await ingress_with(system, faulty_peers, faulty, safe=True)
     system.publish(2, RouteOptions("shop", attempts=attempts))
     await system.until_configured(2)
     status, _, _ = await system.call(ingress)
     assert status == 200
-    assert len(sound.backend.arrivals) == 1
+    assert len(healthy.backend.arrivals) == 1
     assert system.log.named("extra_try") == []
 
 
 async def test_silence_spends_no_budget_where_the_silent_node_cannot_run_the_request(
-    system: MeshSystem, odd_peers: list[OddPeer]
+    system: MeshSystem, faulty_peers: list[FaultyPeer]
 ) -> None:
-    odd = OddPeer()
-    ingress, sound = await ingress_with(system, odd_peers, odd, safe=True)
+    faulty = FaultyPeer()
+    ingress, healthy = await ingress_with(system, faulty_peers, faulty, safe=True)
     system.publish(2, RouteOptions("shop", attempts=1))
     await system.until_configured(2)
     status, _, _ = await system.call(ingress, method=b"POST", body=BODY)
     assert status == 200
-    assert BODY not in odd.received
-    assert len(sound.backend.arrivals) == 1
+    assert BODY not in faulty.received
+    assert len(healthy.backend.arrivals) == 1
     assert system.log.named("extra_try") == []
 
 
 async def test_silence_is_charged_if_the_request_may_still_arrive(
-    system: MeshSystem, odd_peers: list[OddPeer]
+    system: MeshSystem, faulty_peers: list[FaultyPeer]
 ) -> None:
     system.retry = MeshRetrySettings(extra=0.0)
-    odd = OddPeer()
-    ingress, sound = await ingress_with(system, odd_peers, odd, safe=True)
+    faulty = FaultyPeer()
+    ingress, healthy = await ingress_with(system, faulty_peers, faulty, safe=True)
     system.publish(2, RouteOptions("shop", attempts=3))
     await system.until_configured(2)
     status, _, _ = await system.call(ingress)
-    # Served although nothing is left for other repeats: it may be owed.
+    # Served although the budget is used up: such repeats may put the node over its budget.
     assert status == 200
-    assert len(sound.backend.arrivals) == 1
+    assert len(healthy.backend.arrivals) == 1
     (counted,) = system.log.named("extra_try")
     assert (counted["kind"], counted["granted"]) == ("unheard", True)
     assert counted["level"] == -1.0
 
 
 async def test_silent_node_is_sent_no_complete_request_for_a_while(
-    system: MeshSystem, odd_peers: list[OddPeer], monkeypatch: pytest.MonkeyPatch
+    system: MeshSystem, faulty_peers: list[FaultyPeer], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("hoisthook.mesh.peer.FIRST_BACKOFF_SECONDS", 0.0)
-    odd = OddPeer()
-    ingress, sound = await ingress_with(system, odd_peers, odd, safe=True)
+    faulty = FaultyPeer()
+    ingress, healthy = await ingress_with(system, faulty_peers, faulty, safe=True)
     system.publish(2, RouteOptions("shop", attempts=3))
     await system.until_configured(2)
     assert (await system.call(ingress, method=b"POST", body=BODY))[0] == 200
-    assert odd.received.count(BODY) == 1
+    assert faulty.received.count(BODY) == 1
     (view,) = [v for v in ingress.node.directory.others() if v.peer.node == "odd"]
     view.connected()
     view.closed_until = 0.0
     assert (await system.call(ingress, method=b"POST", body=BODY))[0] == 200
-    assert odd.received.count(b"POST /x ") == 2
-    assert odd.received.count(BODY) == 1
-    assert len(sound.backend.arrivals) == 2
+    assert faulty.received.count(b"POST /x ") == 2
+    assert faulty.received.count(BODY) == 1
+    assert len(healthy.backend.arrivals) == 2
     assert len(system.log.named("extra_try")) == 1
 
 
 async def test_log_shows_a_loss_before_admission_and_the_possible_arrivals(
-    system: MeshSystem, odd_peers: list[OddPeer]
+    system: MeshSystem, faulty_peers: list[FaultyPeer]
 ) -> None:
-    odd = OddPeer(drops=True)
-    ingress, sound = await ingress_with(system, odd_peers, odd, safe=True)
-    sound.backend.fault = Fault.SHED
+    faulty = FaultyPeer(drops=True)
+    ingress, healthy = await ingress_with(system, faulty_peers, faulty, safe=True)
+    healthy.backend.fault = Fault.SHED
     await system.call(ingress)
     assert [line["admitted"] for line in system.log.named("hop_lost")] == [False]
     (answered,) = system.log.named("answered")
@@ -209,44 +211,44 @@
 
 
 async def test_silence_leaves_time_for_another_node_within_the_target(
-    system: MeshSystem, odd_peers: list[OddPeer], monkeypatch: pytest.MonkeyPatch
+    system: MeshSystem, faulty_peers: list[FaultyPeer], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("hoisthook.mesh.admitted_exchange.ADMISSION_SECONDS", 5.0)
-    odd = OddPeer()
-    ingress, sound = await ingress_with(system, odd_peers, odd, safe=True)
+    faulty = FaultyPeer()
+    ingress, healthy = await ingress_with(system, faulty_peers, faulty, safe=True)
     system.publish(2, RouteOptions("shop", target=0.8, timeout=20.0))
     await system.until_configured(2)
     status, _, _ = await system.call(ingress, deadline_ms=20000)
     assert status == 200
-    assert len(sound.backend.arrivals) == 1
+    assert len(healthy.backend.arrivals) == 1
 
 
 async def test_silent_node_is_left_alone_after_the_first_request(
-    system: MeshSystem, odd_peers: list[OddPeer]
+    system: MeshSystem, faulty_peers: list[FaultyPeer]
 ) -> None:
-    odd = OddPeer()
-    ingress, _ = await ingress_with(system, odd_peers, odd, safe=False)
+    faulty = FaultyPeer()
+    ingress, _ = await ingress_with(system, faulty_peers, faulty, safe=False)
     for _ in range(5):
         assert (await system.call(ingress, method=b"POST", body=BODY))[0] == 200
-    assert odd.connections == 1
+    assert faulty.connections == 1
 
 
 async def test_refused_request_keeps_its_connection_and_sends_no_body(
-    system: MeshSystem, odd_peers: list[OddPeer]
+    system: MeshSystem, faulty_peers: list[FaultyPeer]
 ) -> None:
     refusal = (
         b"HTTP/1.1 503 Full\r\nhoisthook-load: 4 0 4 100 0 2 0\r\nhoisthook-result: 2006\r\n"
         b"hoisthook-retry-after-ms: 1\r\ncontent-length: 0\r\n\r\n"
     )
-    odd = OddPeer(answer=refusal)
-    ingress, _ = await ingress_with(system, odd_peers, odd, safe=False)
+    faulty = FaultyPeer(answer=refusal)
+    ingress, _ = await ingress_with(system, faulty_peers, faulty, safe=False)
     for _ in range(3):
         assert (await system.call(ingress, method=b"POST", body=BODY))[0] == 200
         await asyncio.sleep(0.1)
-    assert odd.received.count(b"POST ") > 1
-    assert odd.received.count(b"POST ") == odd.received.count(b"0\r\n\r\n")
-    assert BODY not in odd.received
-    assert odd.connections == 1
+    assert faulty.received.count(b"POST ") > 1
+    assert faulty.received.count(b"POST ") == faulty.received.count(b"0\r\n\r\n")
+    assert BODY not in faulty.received
+    assert faulty.connections == 1
 
 
 async def test_node_does_not_run_a_request_whose_sender_has_disconnected(
@@ -327,7 +329,7 @@
     async with asyncio.timeout(10.0):
         while not server.backend.running:
             await asyncio.sleep(0.001)
-    # It waits for eight times as long as a node may be silent.
+    # It is queued for eight times the admission timeout.
     assert (await system.call(ingress))[0] == 200
     assert (await first)[0] == 200
     assert not system.log.named("hop_lost")
@@ -335,16 +337,19 @@
 
 
 async def test_complete_request_is_sent_to_at_most_one_silent_node(
-    system: MeshSystem, odd_peers: list[OddPeer]
+    system: MeshSystem, faulty_peers: list[FaultyPeer]
 ) -> None:
-    """Links that take longer than the silence that is borne: what was sent arrives all the same."""
-    first, second = OddPeer(), OddPeer()
-    ingress, sound = await ingress_with(system, odd_peers, first, safe=True)
-    odd_peers.append(second)
+    """Guards against extra executions on links with a delay above the admission timeout.
+
+    A request that is given up as unanswered still arrives at the node and may be executed there.
+    """
+    first, second = FaultyPeer(), FaultyPeer()
+    ingress, healthy = await ingress_with(system, faulty_peers, first, safe=True)
+    faulty_peers.append(second)
     other = Peer(NodeId("odd-2"), await second.start(), ServiceName("shop"), DataCentre("one"))
     ingress.node.directory.merge([other], "test")
     status, _, _ = await system.call(ingress, method=b"POST", body=BODY)
     assert status == 200
-    assert len(sound.backend.arrivals) == 1
-    # Two attempts are allowed: the sound one, and one that may run late.
-    assert [BODY in odd.received for odd in (first, second)].count(True) == 1
+    assert len(healthy.backend.arrivals) == 1
+    # Two attempts are allowed: the one at the healthy node, and one that may be executed late.
+    assert [BODY in faulty.received for faulty in (first, second)].count(True) == 1
--- a/tests/mesh/test_cold_backend.py
+++ b/tests/mesh/test_cold_backend.py
@@ -1,4 +1,4 @@
-"""A backend server that is cold gets no more than it bears, whoever sends."""
+"""A cold backend server is sent no more requests than its limit, from all nodes together."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 PER_SECOND = 4.0
 COLD = MeshColdSettings(1.5, 2.0)
-BOUND = int(PER_SECOND * COLD.rate_factor + COLD.extra)
+LIMIT = int(PER_SECOND * COLD.rate_factor + COLD.extra)
 REQUESTS = 60
 
 
@@ -30,12 +30,12 @@
     system.introduce_all()
     system.publish(1, RouteOptions("shop", cold_per_second=PER_SECOND))
     await system.until_configured(1)
-    # The first second of a node counts as full.
+    # A node counts its first second as if the limit had been used up in it.
     await asyncio.sleep(1.2)
     return ingresses, server
 
 
-async def press(system: MeshSystem, ingresses: list[Machine]) -> list[int]:
+async def send_load(system: MeshSystem, ingresses: list[Machine]) -> list[int]:
     """Send many requests over two seconds; return their statuses."""
     calls = []
     for number in range(REQUESTS):
@@ -48,21 +48,21 @@
     ingresses, server = await ingresses_and_server(system)
     server.backend.cold_seconds = 30.0
     await server.beat()
-    statuses = await press(system, ingresses)
+    statuses = await send_load(system, ingresses)
     times = server.backend.arrival_times
-    assert most_in_a_second(times) <= BOUND
-    # And it is used as far as it bears.
-    assert len(times) >= 2 * BOUND - 2
+    assert most_in_a_second(times) <= LIMIT
+    # The limit is nearly used up as well.
+    assert len(times) >= 2 * LIMIT - 2
     assert set(statuses) == {200, 503}
 
 
 async def test_server_that_turns_cold_unannounced_is_rate_limited(system: MeshSystem) -> None:
     ingresses, server = await ingresses_and_server(system)
-    await press(system, ingresses)
+    await send_load(system, ingresses)
     server.backend.arrival_times.clear()
     server.backend.cold_seconds = 30.0
-    await press(system, ingresses)
-    assert most_in_a_second(server.backend.arrival_times) <= BOUND
+    await send_load(system, ingresses)
+    assert most_in_a_second(server.backend.arrival_times) <= LIMIT
 
 
 async def test_refused_health_check_does_not_mark_the_server_as_warm(system: MeshSystem) -> None:
@@ -70,17 +70,17 @@
     server.backend.cold_seconds = 30.0
     await server.beat()
     server.backend.healthy = False
-    await press(system, ingresses)
+    await send_load(system, ingresses)
     assert server.backend.health_reads
-    assert most_in_a_second(server.backend.arrival_times) <= BOUND
+    assert most_in_a_second(server.backend.arrival_times) <= LIMIT
 
 
 async def test_warm_server_serves_all(system: MeshSystem) -> None:
     ingresses, server = await ingresses_and_server(system)
-    assert set(await press(system, ingresses)) == {200}
-    assert most_in_a_second(server.backend.arrival_times) > BOUND
-    # Its health is read once for as many requests as it would bear cold.
-    assert server.backend.health_reads <= 3 * REQUESTS / BOUND
+    assert set(await send_load(system, ingresses)) == {200}
+    assert most_in_a_second(server.backend.arrival_times) > LIMIT
+    # Its health is read once for as many requests as the limit of a cold server.
+    assert server.backend.health_reads <= 3 * REQUESTS / LIMIT
 
 
 async def test_restarted_node_does_not_renew_the_allowance_of_a_cold_server(
@@ -89,12 +89,12 @@
     ingresses, server = await ingresses_and_server(system)
     server.backend.cold_seconds = 30.0
     await server.beat()
-    await press(system, ingresses)
+    await send_load(system, ingresses)
     sent = len(server.backend.arrivals)
     server.crash()
     system.machines.remove(server)
-    again = await system.add("shop", backend=server.backend)
+    restarted = await system.add("shop", backend=server.backend)
     system.introduce_all()
-    await press(system, ingresses)
-    assert again.backend.arrivals[sent:]
-    assert most_in_a_second(server.backend.arrival_times) <= BOUND
+    await send_load(system, ingresses)
+    assert restarted.backend.arrivals[sent:]
+    assert most_in_a_second(server.backend.arrival_times) <= LIMIT
--- a/tests/mesh/test_dropping_backend.py
+++ b/tests/mesh/test_dropping_backend.py
@@ -1,3 +1,5 @@
+"""A backend server that drops the connections of requests as soon as they are sent."""
+
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
@@ -31,8 +33,8 @@
 async def test_backend_server_that_drops_requests_is_sent_none_for_a_while(
     system: MeshSystem, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(observed_backend, "FIRST_DROPPED_SECONDS", 600.0)
-    monkeypatch.setattr(observed_backend, "MAX_DROPPED_SECONDS", 600.0)
+    monkeypatch.setattr(observed_backend, "INITIAL_DROPPED_BACKOFF_SECONDS", 600.0)
+    monkeypatch.setattr(observed_backend, "MAX_DROPPED_BACKOFF_SECONDS", 600.0)
     ingress, shop = await ingress_and_shop(system)
     while (await system.call(ingress, method=b"POST"))[0] == 502:
         pass
@@ -57,7 +59,7 @@
 async def test_reset_of_an_idle_connection_drops_the_others_without_backoff(
     system: MeshSystem, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Nothing is learned of the work here, so that each reset comes early in it.
+    # No service times are learned, so that each reset comes early in the expected service time.
     monkeypatch.setattr(work_times, "WARM_COUNT", 100)
     ingress, shop = await ingress_and_shop(system)
     for _ in range(5):
@@ -76,13 +78,13 @@
     now = 0.0
     for _ in range(7):
         observed_backend.dropped(now)
-        now = max(now, observed_backend.closed_until)
+        now = max(now, observed_backend.unavailable_until)
     observed_backend.answered(failed=False)
     for _ in range(3):
         observed_backend.dropped(now)
-        now = max(now, observed_backend.closed_until)
-    told = [line["closed_for"] for line in log.named("backend_unreachable")]
-    assert told == [0.15, 0.3, 0.6, 0.6, 0.6, 0.15]
+        now = max(now, observed_backend.unavailable_until)
+    backoffs = [line["closed_for"] for line in log.named("backend_unreachable")]
+    assert backoffs == [0.15, 0.3, 0.6, 0.6, 0.6, 0.15]
 
 
 def test_concurrent_requests_that_are_dropped_cause_one_backoff() -> None:
--- a/tests/mesh/test_incarnations.py
+++ b/tests/mesh/test_incarnations.py
@@ -1,4 +1,4 @@
-"""Backend servers that start again, under the same id too."""
+"""Backend servers that restart, also under the same id."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
     observed_backend.unreachable(0.0, 100.0)
     observed_backend.announced(announcement(LATER, 1))
     assert observed_backend.failing == 0.0
-    assert observed_backend.closed_until < 0.0
+    assert observed_backend.unavailable_until < 0.0
     assert len(replaced) == 2
 
 
@@ -79,7 +79,7 @@
         if data.draw(st.booleans()):
             messages.append(BackendIncarnation(SAME, born))
     if other != SAME:
-        # A life under an id of its own that has left for good.
+        # An incarnation under another id that has deregistered.
         messages.append(BackendIncarnation(other, EARLIER - 1))
     expected = _last_state(messages)
     observed_backend = ObservedBackend(ListLog())
--- a/tests/mesh/test_pipelining.py
+++ b/tests/mesh/test_pipelining.py
@@ -1,4 +1,4 @@
-"""Requests that a caller sends before it has the answers to earlier ones."""
+"""Requests that a caller sends before it has received the answers to earlier ones."""
 
 from __future__ import annotations
 
@@ -92,9 +92,9 @@
     writer.close()
     assert b"2004 DEADLINE_PASSED" in answered
     assert server.backend.runs == ["first", "third"]
-    # What it waited is taken from the time that the backend server is given.
-    left = [int(a.headers[b"x-deadline-ms"]) for a in server.backend.arrivals]
-    assert left[1] <= 2000 - 390
+    # The queue time is deducted from the time that the backend server is given.
+    deadlines = [int(a.headers[b"x-deadline-ms"]) for a in server.backend.arrivals]
+    assert deadlines[1] <= 2000 - 390
 
 
 async def test_reset_cancels_the_requests_of_that_caller(system: MeshSystem) -> None:
@@ -114,7 +114,7 @@
     await until(lambda: server.backend.running == 1)
     await asyncio.sleep(0.3)
     connection = next(iter(ingress.node._callers._connections))
-    # What one read of the socket brings is parsed whole; then nothing more is read.
+    # The data of one socket read is parsed completely; no more is read after it.
     waiting = len(connection._queue)
     await asyncio.sleep(0.3)
     assert len(connection._queue) == waiting < 20_000
--- a/tests/mesh/test_silent_node.py
+++ b/tests/mesh/test_silent_node.py
@@ -1,4 +1,4 @@
-"""A request that was sent whole to a node that is silent: its answer is taken when it comes."""
+"""A complete request sent to a node that does not respond: a late answer is still delivered."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
     from standin.mesh_system import Machine
     from standin.mesh_system import MeshSystem
 
-# No deadline passes on a slow machine.
+# Long enough that no deadline passes on a slow machine.
 ROUTE = RouteOptions("shop", target=20.0, timeout=60.0)
 DEADLINE_MS = 60_000
 CALL_SECONDS = 90.0
 
 
 @pytest.fixture(autouse=True)
-def short_linger(monkeypatch: pytest.MonkeyPatch) -> None:
+def short_shutdown_times(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(mesh_node, "LINGER_SECONDS", 1.0)
     monkeypatch.setattr(mesh_node, "LEAVING_SECONDS", 0.0)
 
 
 class Stall:
-    """Keeps a node from looking at requests, as a loop that stands still does.
+    """Keeps a node from processing requests, as a blocked event loop does.
 
-    The end of a connection is not noticed meanwhile either.
+    Closed connections are not noticed during the stall either.
     """
 
     def __init__(self, machine: Machine) -> None:
@@ -61,7 +61,7 @@
     return ingress, server
 
 
-def ask(
+def start_call(
     system: MeshSystem, ingress: Machine, method: bytes = b"GET"
 ) -> asyncio.Task[tuple[int, dict[bytes, bytes], bytes]]:
     return asyncio.create_task(
@@ -75,19 +75,19 @@
     )
 
 
-async def ask_a_node_that_stands_still(
+async def call_stalled_node(
     system: MeshSystem,
 ) -> tuple[Machine, Stall, asyncio.Task[tuple[int, dict[bytes, bytes], bytes]]]:
     """Return the node, its stall, and a request that is held there."""
     ingress, server = await ingress_and_server(system)
     stall = Stall(server)
-    asked = ask(system, ingress)
+    call_task = start_call(system, ingress)
     await stall.reached.wait()
-    return server, stall, asked
+    return server, stall, call_task
 
 
-def is_silent(system: MeshSystem) -> bool:
-    """Return whether the sender has borne the silence for as long as it does."""
+def is_silence_logged(system: MeshSystem) -> bool:
+    """Return whether the admission timeout of the sender has passed."""
     return bool(system.log.named("hop_unheard") or system.log.named("hop_lost"))
 
 
@@ -96,33 +96,33 @@
 async def test_leaving_node_awaits_a_request_that_a_silent_node_may_still_run(
     system: MeshSystem, method: bytes, is_under_way: bool
 ) -> None:
-    """Guards against 502 in place of an answer at which a backend server is at work."""
+    """Guards against a 502 while a backend server still executes the request."""
     ingress, server = await ingress_and_server(system)
     stall = Stall(server)
     if is_under_way:
-        asked = ask(system, ingress, method)
+        call_task = start_call(system, ingress, method)
         await stall.reached.wait()
         closing = asyncio.create_task(ingress.node.close())
     else:
         closing = asyncio.create_task(ingress.node.close())
         await until(lambda: ingress.node.stopping)
-        asked = ask(system, ingress, method)
-    await until(lambda: is_silent(system))
+        call_task = start_call(system, ingress, method)
+    await until(lambda: is_silence_logged(system))
     stall.over.set()
-    status, _, _ = await asked
+    status, _, _ = await call_task
     await until(lambda: stall.handled > 0)
     assert (status, len(server.backend.runs)) == (200, 1)
     await closing
 
 
 async def test_late_answer_of_a_silent_node_is_delivered(system: MeshSystem) -> None:
-    """Guards against 502 to a request that nobody else can run and that runs all the same."""
+    """Guards against a 502 for a request that only the silent node can and does execute."""
     ingress, server = await ingress_and_server(system)
     stall = Stall(server)
-    asked = ask(system, ingress)
-    await until(lambda: is_silent(system))
+    call_task = start_call(system, ingress)
+    await until(lambda: is_silence_logged(system))
     stall.over.set()
-    assert (await asked)[0] == 200
+    assert (await call_task)[0] == 200
     assert len(server.backend.runs) == 1
     assert len(system.log.named("hop_heard")) == 1
 
@@ -130,24 +130,24 @@
 async def test_silent_node_answers_after_another_node_has_rejected_the_request(
     system: MeshSystem,
 ) -> None:
-    """Guards against 502 where the other nodes refuse and the silent one comes back."""
-    server, stall, asked = await ask_a_node_that_stands_still(system)
+    """Guards against a 502 when the other nodes reject the request and the silent one resumes."""
+    server, stall, call_task = await call_stalled_node(system)
     other = await system.add("shop", data_centre="three")
     other.backend.fault = Fault.SHED
     system.introduce_all()
     await until(lambda: len(other.backend.arrivals) > 0)
     stall.over.set()
-    assert (await asked)[0] == 200
+    assert (await call_task)[0] == 200
     assert len(server.backend.runs) == 1
 
 
 async def test_first_answer_is_used_if_another_node_runs_the_request_too(
     system: MeshSystem,
 ) -> None:
-    _, stall, asked = await ask_a_node_that_stands_still(system)
+    _, stall, call_task = await call_stalled_node(system)
     other = await system.add("shop", data_centre="three")
     system.introduce_all()
-    assert (await asked)[0] == 200
+    assert (await call_task)[0] == 200
     assert len(other.backend.runs) == 1
     stall.over.set()
     await until(lambda: stall.handled > 0)
@@ -156,13 +156,13 @@
 async def test_late_answer_cancels_the_attempt_at_another_node(
     system: MeshSystem,
 ) -> None:
-    server, stall, asked = await ask_a_node_that_stands_still(system)
+    server, stall, call_task = await call_stalled_node(system)
     other = await system.add("shop", data_centre="three")
     other.backend.go_on.clear()
     system.introduce_all()
     await until(lambda: other.backend.running > 0)
     stall.over.set()
-    assert (await asked)[0] == 200
+    assert (await call_task)[0] == 200
     await until(lambda: len(other.backend.cancelled) > 0)
     assert (len(server.backend.runs), len(other.backend.runs)) == (1, 1)
 
@@ -170,11 +170,11 @@
 async def test_stalled_node_does_not_run_a_request_that_was_withdrawn(
     system: MeshSystem,
 ) -> None:
-    """Guards against runs of requests that were answered elsewhere while a loop stood still."""
+    """Guards against execution of requests that were answered elsewhere during a stall."""
     server = await system.add("shop")
     reader, writer = await asyncio.open_connection(*server.node.peers_address)
     await until(lambda: bool(server.node._peers._connections))
-    # Both arrive before the loop looks at either.
+    # The request and the end of the stream arrive before the event loop reads either.
     writer.write(
         b"GET /x HTTP/1.1\r\nhost: a.example\r\nx-request-id: q\r\nexpect: 100-continue\r\n"
         b"hoisthook-hop: shop front r-0 q d 1 2000 1000 0 f 0i 0\r\n\r\n"
@@ -187,12 +187,12 @@
 
 
 async def test_outcome_at_a_stopped_node_is_not_awaited(system: MeshSystem) -> None:
-    """What cannot be answered any more is told at once, not held to the target latency."""
-    server, stall, asked = await ask_a_node_that_stands_still(system)
+    """An answer that can no longer come is reported as lost at once, not at the target latency."""
+    server, stall, call_task = await call_stalled_node(system)
     server.node._peers.stop_listening()
-    # Long before the target latency is over.
-    await until(asked.done)
-    assert (await asked)[0] == 502
+    # Long before the target latency has passed.
+    await until(call_task.done)
+    assert (await call_task)[0] == 502
     assert server.backend.runs == []
     stall.over.set()
 
@@ -200,13 +200,13 @@
 async def test_pending_attempt_counts_towards_the_limit_of_attempts(
     system: MeshSystem,
 ) -> None:
-    """Guards against a third run where one of two was not heard from and the other failed."""
-    _, stall, asked = await ask_a_node_that_stands_still(system)
+    """Guards against a third execution after one attempt is pending and another has failed."""
+    _, stall, call_task = await call_stalled_node(system)
     others = [await system.add("shop", data_centre=f"dc-{number}") for number in range(2)]
     for other in others:
         other.backend.fault = Fault.ERROR
     system.introduce_all()
     await until(lambda: sum(len(other.backend.runs) for other in others) > 0)
     stall.over.set()
-    assert (await asked)[0] == 200
+    assert (await call_task)[0] == 200
     assert sum(len(other.backend.runs) for other in others) == 1
--- a/tests/mesh/test_suspension.py
+++ b/tests/mesh/test_suspension.py
@@ -1,4 +1,4 @@
-"""A machine stands still for a minute and goes on: nothing that was due before is done after."""
+"""A machine is suspended for a minute: work that was due before is not done after it resumes."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 def suspender(monkeypatch: pytest.MonkeyPatch) -> Callable[[], None]:
-    """Return what has the running loop find that a minute has passed."""
+    """Return a function that advances the clock of the running loop by a minute."""
     loop = asyncio.get_running_loop()
-    read = loop.time
-    suspended = [0.0]
-    monkeypatch.setattr(loop, "time", lambda: read() + suspended[0])
+    loop_time = loop.time
+    offset = [0.0]
+    monkeypatch.setattr(loop, "time", lambda: loop_time() + offset[0])
 
     def suspend() -> None:
-        suspended[0] += SUSPENDED_SECONDS
+        offset[0] += SUSPENDED_SECONDS
 
     return suspend
 
@@ -42,13 +42,13 @@
     system.publish(1, RouteOptions("shop", timeout=30.0, target=20.0))
     await system.until_configured(1)
     shop.backend.fault = Fault.HANG
-    sent = [
+    calls = [
         asyncio.create_task(system.call(ingress, "/x", deadline_ms=20_000, timeout=300.0))
         for _ in range(2)
     ]
     await until(lambda: shop.backend.running == 1 and shop.node.link.gate.waiting == 1)
     suspend()
-    answers = await asyncio.gather(*sent)
+    answers = await asyncio.gather(*calls)
     assert all(status in (503, 504) for status, _, _ in answers)
     assert len(shop.backend.arrivals) == 1
     shop.backend.fault = Fault.NONE
