--- a/src/hoisthook/local_backend/backend_exchange.py
+++ b/src/hoisthook/local_backend/backend_exchange.py
@@ -43,7 +43,7 @@
 DROPPED_SHARE_OF_WORK = 0.1
 REPLACED_RETRY_SECONDS = 0.02
 # Enough of a target to find the request in an access log.
-MAX_LOGGED_TARGET = 120
+MAX_LOGGED_TARGET_BYTES = 120
 
 
 @dataclass(frozen=True, slots=True)
@@ -209,14 +209,14 @@
             took_ms=round(seconds * 1000.0, 1),
             work=call.work,
             method=call.method.decode("latin-1"),
-            target=call.target[:MAX_LOGGED_TARGET].decode("latin-1"),
+            target=call.target[:MAX_LOGGED_TARGET_BYTES].decode("latin-1"),
             bytes=len(call.body),
         )
         if lost.code is not ResultCode.DEADLINE_DURING_RUN:
             self._record_broken_connection(is_dropped=is_dropped, reused=reused)
             if instance is not None:
                 lost_request = LostRequest(call.request_id, call.work, instance, self._clock.now())
-                self._exit_detector.broken(lost_request)
+                self._exit_detector.request_lost(lost_request)
 
     def _record_broken_connection(self, *, is_dropped: bool, reused: bool) -> None:
         if not is_dropped:
--- a/src/hoisthook/local_backend/crash_monitor.py
+++ b/src/hoisthook/local_backend/crash_monitor.py
@@ -21,7 +21,7 @@
 
 # Successful requests with larger bodies are recorded only while some work of the service is
 # suspected: computing a work id takes 4 microseconds, plus 2.4 ms for each MB of body.
-MAX_REMEMBERED_BYTES = 16_384
+MAX_RECORDED_BODY_BYTES = 16_384
 
 
 class WorkRequest(Protocol):
@@ -37,7 +37,7 @@
 
     @property
     def work(self) -> WorkId:
-        """Return the id of the work that it asks for."""
+        """Return the id of what the request asks for, which is the same for each repeat of it."""
 
 
 class CrashMonitor:
@@ -94,7 +94,7 @@
 
     def request_succeeded(self, call: WorkRequest) -> None:
         """Record that a request was executed successfully."""
-        is_large = len(call.body) > MAX_REMEMBERED_BYTES
+        is_large = len(call.body) > MAX_RECORDED_BODY_BYTES
         if is_large and not self._evidence.suspects(self.service):
             return
         self._successful_runs.add(call.work)
--- a/src/hoisthook/local_backend/exit_detector.py
+++ b/src/hoisthook/local_backend/exit_detector.py
@@ -97,7 +97,7 @@
         """Cancel the connection check in progress."""
         self._checks.close()
 
-    def broken(self, lost: LostRequest) -> None:
+    def request_lost(self, lost: LostRequest) -> None:
         """Record that a connection broke during the execution of a request."""
         self._pending = self._recent()
         if not self._takes_work() or len(self._pending) >= MAX_PENDING:
--- a/src/hoisthook/local_backend/repeat_limit.py
+++ b/src/hoisthook/local_backend/repeat_limit.py
@@ -76,7 +76,22 @@
 
 
 class ArrivingRequest(Protocol):
-    """A request that has arrived for the backend server."""
+    """A request that has arrived for the backend server.
+
+    Attributes
+    ----------
+    request_id : RequestId
+        Id of the request.
+    route : RouteName
+        Route of the request.
+    arrival : Arrival
+        Whether it is the first arrival of the request or a kind of repeat.
+    idle_observation : IdleObservation
+        Whether its ingress node was idle when it came, by which callers' requests are
+        distinguished from calls.
+    by_repeat : float
+        Probability that the request is a call made by a repeat.
+    """
 
     request_id: RequestId
     route: RouteName
@@ -88,7 +103,11 @@
 class RepeatLimit:
     """Admits or rejects the repeats that arrive at one backend server.
 
-    The node of a backend server decides, since all requests for the backend server pass it.
+    A repeat is any arrival of a request at a backend server after its first, such as a redirect
+    after a rejection or a rerun. The node of the backend server decides, since all requests for
+    the backend server pass it. The budget is a fixed number of repeats in a window, divided among
+    the nodes of the service, plus a share of the callers' requests. Calls that repeats make to
+    other services are charged to the budgets of those services.
 
     Parameters
     ----------
--- a/src/hoisthook/node/crash_guard.py
+++ b/src/hoisthook/node/crash_guard.py
@@ -91,7 +91,7 @@
 
     def lost(self, call: Call, instance: InstanceId) -> None:
         """Take in that the connection broke while a call ran."""
-        self._exit_detector.broken(
+        self._exit_detector.request_lost(
             LostRequest(call.request_id, call.work, instance, self._clock.now())
         )
 
--- a/tests/local_backend/test_exit_detector.py
+++ b/tests/local_backend/test_exit_detector.py
@@ -49,7 +49,7 @@
 
     def lose(self) -> LostRequest:
         lost = LostRequest(RequestId("q"), WorkId("w"), FIRST, self.clock.now())
-        self.exit_detector.broken(lost)
+        self.exit_detector.request_lost(lost)
         return lost
 
 
--- a/tests/mesh/test_silent_node.py
+++ b/tests/mesh/test_silent_node.py
@@ -78,7 +78,7 @@
 async def call_stalled_node(
     system: MeshSystem,
 ) -> tuple[Machine, Stall, asyncio.Task[tuple[int, dict[bytes, bytes], bytes]]]:
-    """Return the node, its stall, and a request that is held there."""
+    """Return the stalled node, its stall, and the task of a call that is blocked there."""
     ingress, server = await ingress_and_server(system)
     stall = Stall(server)
     call_task = start_call(system, ingress)
