--- a/benchmark/retry_budget.py
+++ b/benchmark/retry_budget.py
@@ -16,7 +16,7 @@
 from hoisthook.retry.arrival import Arrival
 from hoisthook.retry.arrival_budget import ArrivalBudget
 from hoisthook.retry.arrival_budget import RetrySettings
-from hoisthook.retry.arrival_budget import part_of
+from hoisthook.retry.arrival_budget import node_part
 
 NODES = (4, 6, 43, 195, 1000)
 # Repeats that operators allow a node of the deployments served, in the mean.
@@ -33,7 +33,7 @@
     draw = random.Random(seed)
     settings = RetrySettings(ratio=0.0, window=WINDOW_SECONDS, extra=extra)
     ids = [NodeId(f"node-{number}") for number in range(nodes)]
-    parts = [part_of(extra, node, ids) for node in ids]
+    parts = [node_part(extra, node, ids) for node in ids]
     budgets = [_started(settings, part, 0.0) for part in parts]
     made: list[float] = []
     for step in range(round(SECONDS / STEP_SECONDS)):
@@ -54,7 +54,7 @@
 
 def _started(settings: RetrySettings, part: float, now: float) -> ArrivalBudget:
     budget = ArrivalBudget(settings, now)
-    budget.has_part(part, now)
+    budget.set_part(part, now)
     return budget
 
 
--- a/src/hoisthook/adapter/http/server_exchange.py
+++ b/src/hoisthook/adapter/http/server_exchange.py
@@ -26,7 +26,7 @@
     def piece_bytes(self) -> int:
         """Return the size of a piece."""
 
-    def spreads(self, size: int) -> bool:
+    def needs_pacing(self, size: int) -> bool:
         """Return whether an answer of some size goes out in pieces."""
 
     def sent(self, size: int, now: float) -> None:
@@ -130,7 +130,7 @@
     ) -> None:
         """Send a whole answer, in pieces where the pace of the link asks for it."""
         now = asyncio.get_running_loop().time()
-        if not pace.spreads(len(body)):
+        if not pace.needs_pacing(len(body)):
             pace.sent(len(body), now)
             self.respond(status, headers, body)
             return
--- a/src/hoisthook/admission/running_requests.py
+++ b/src/hoisthook/admission/running_requests.py
@@ -96,19 +96,19 @@
     def begin(self, running: RunningRequest) -> None:
         """Note that a request is sent to the backend server."""
         if not self._running:
-            self._idle.turned(self._clock.now(), is_idle=False)
+            self._idle.set_idle(self._clock.now(), is_idle=False)
         self._running.add(running)
 
     def end(self, running: RunningRequest) -> None:
         """Note that it runs no more."""
         self._running.discard(running)
         if not self._running:
-            self._idle.turned(self._clock.now(), is_idle=True)
+            self._idle.set_idle(self._clock.now(), is_idle=True)
 
     def reported(self, running: int) -> None:
         """Take in how many requests the backend server says that it has."""
         if running == 0:
-            self._idle.emptied(self._clock.now())
+            self._idle.confirm_idle(self._clock.now())
 
     def idle_observation(self) -> IdleObservation:
         """Return whether anything runs at this moment, and how often nothing does."""
--- a/src/hoisthook/idempotency/__init__.py
+++ b/src/hoisthook/idempotency/__init__.py
@@ -1,3 +1,3 @@
-"""At most once for non-repeatable requests."""
+"""At-most-once execution of non-repeatable requests."""
 
 from __future__ import annotations
--- a/src/hoisthook/idempotency/key.py
+++ b/src/hoisthook/idempotency/key.py
@@ -1,4 +1,4 @@
-"""Idempotency keys that name the node incarnation remembering them."""
+"""Idempotency keys, which contain the node incarnation that issued them."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
     Attributes
     ----------
     node : NodeId
-        The node that issued it and remembers what became of it.
+        The node that issued the key and stores its outcome.
     incarnation : Incarnation
-        That node's incarnation; its memory ends with it.
+        Incarnation of that node; the stored outcome is lost with it.
     service : ServiceName
         The service that the key is for.
     issued_ms : int
-        Milliseconds between the incarnation's start and the issue.
+        Milliseconds from the start of the incarnation to the issue of the key.
     nonce : str
         Makes the key unique within the incarnation.
     signature : str
@@ -50,14 +50,14 @@
         return SEPARATOR.join([self._signed_text(), self.signature])
 
     def sign(self, secret: bytes) -> str:
-        """Return the signature that ``secret`` gives the key."""
+        """Return the signature of the key under ``secret``."""
         digest = hashlib.blake2b(
             self._signed_text().encode(), key=secret, digest_size=SIGNATURE_BYTES
         )
         return digest.hexdigest()
 
     def is_signed_by(self, secret: bytes) -> bool:
-        """Return whether the signature is right."""
+        """Return whether the key's signature is valid under ``secret``."""
         return hmac.compare_digest(self.sign(secret), self.signature)
 
     def _signed_text(self) -> str:
@@ -66,9 +66,9 @@
 
 
 def parse_key(text: str) -> Key | None:
-    """Return the key, or None if ``text`` is none.
+    """Return the parsed key, or None if ``text`` is not a valid key.
 
-    Quotes around it, as in a structured header's string, are taken off.
+    Quotes around it, as in a string of a structured header, are removed.
     """
     text = text.strip().strip('"')
     if len(text) > MAX_KEY_LENGTH:
--- a/src/hoisthook/idempotency/key_register.py
+++ b/src/hoisthook/idempotency/key_register.py
@@ -1,4 +1,4 @@
-"""What one node incarnation remembers of the keys it issued."""
+"""Register of the idempotency keys that one node incarnation has issued."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class KeyState(Enum):
-    """What became of a key."""
+    """State of the request of a key."""
 
     RUNNING = "running"
     ANSWERED = "answered"
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeptAnswer:
-    """A backend server's whole answer, kept for repeats."""
+    """A backend server's complete answer, kept for repeats."""
 
     status: int
     headers: tuple[tuple[bytes, bytes], ...]
@@ -44,13 +44,13 @@
 
     @property
     def size(self) -> int:
-        """Return about how many bytes it holds."""
+        """Return the approximate size of the answer in bytes."""
         return len(self.body) + sum(len(name) + len(value) for name, value in self.headers)
 
 
 @dataclass(slots=True)
 class KeyRecord:
-    """One key in use."""
+    """A key whose request has been executed or may be."""
 
     text: str
     fingerprint: bytes
@@ -61,21 +61,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Claimed:
-    """The key's request may run now, once."""
+    """The request may be executed now, once."""
 
     record: KeyRecord
 
 
 @dataclass(frozen=True, slots=True)
 class Replayed:
-    """The request ran before; this is its answer."""
+    """The request has been executed before, with this answer."""
 
     answer: KeptAnswer
 
 
 @dataclass(frozen=True, slots=True)
 class Denied:
-    """The request does not run now."""
+    """The request must not be executed now."""
 
     code: ResultCode
 
@@ -84,24 +84,24 @@
 
 
 class KeyRegister:
-    """Lets each issued key's request run at most once.
+    """Lets the request of each issued key be executed at most once.
 
-    A key's first run can start only within its lifetime, counted from its issue
-    on this incarnation's own clock, so a record can be dropped when the lifetime
-    is over: the key is then refused for its age. No lease, no other node and no
-    log record is involved; a node that is replaced takes its memory with it, and
-    its keys name an incarnation that no one else will ever speak for.
+    The first execution for a key can start only within the key's lifetime, which is
+    counted from its issue on this incarnation's own clock. A record can therefore be
+    dropped at the end of the lifetime: the key is then rejected as expired. This needs
+    no lease, no other node and no log record. If the node is replaced, its records are
+    lost, and no other node ever accepts keys of its incarnation.
 
     Parameters
     ----------
     node : NodeId
         This node.
     incarnation : Incarnation
-        This process; never the same twice.
+        Incarnation of this process; never reused.
     clock : Clock
         Monotonic.
     randomness : Randomness
-        For nonces.
+        Source of nonces.
     """
 
     def __init__(
@@ -127,18 +127,18 @@
         self._issued = 0
         self._answers_bytes = 0
         self._record_by_key: dict[str, KeyRecord] = {}
-        self._with_answer: deque[KeyRecord] = deque()
+        self._records_with_answer: deque[KeyRecord] = deque()
 
     def __len__(self) -> int:
         return len(self._record_by_key)
 
     @property
     def answers_bytes(self) -> int:
-        """Return how many bytes the kept answers hold."""
+        """Return the total size of the kept answers in bytes."""
         return self._answers_bytes
 
     def issue(self, service: ServiceName) -> str:
-        """Return a new key for a request to ``service``."""
+        """Issue and return a new key for a request to ``service``."""
         self._issued += 1
         issued_ms = int((self._clock.now() - self._start) * 1000)
         nonce = f"{self._issued:x}x{self._randomness.getrandbits(32):08x}"
@@ -146,28 +146,28 @@
         signature = unsigned.sign(self._secret)
         return Key(self._node, self._incarnation, service, issued_ms, nonce, signature).text
 
-    def is_mine(self, key: Key) -> bool:
-        """Return whether this very incarnation issued the key."""
+    def was_issued_here(self, key: Key) -> bool:
+        """Return whether this incarnation issued the key."""
         return key.node == self._node and key.incarnation == self._incarnation
 
     def claim(self, key: Key, service: ServiceName, fingerprint: bytes) -> Claim:
-        """Decide what a request with ``key`` gets.
+        """Decide whether a request with ``key`` is executed, answered again or denied.
 
         Parameters
         ----------
         key : Key
-            Parsed; issued by this incarnation.
+            Parsed key that names this incarnation as its issuer.
         service : ServiceName
             The service that the request names.
         fingerprint : bytes
-            A digest of method, target and body's beginning; a repeat has the same.
+            Digest of the method, the target and the start of the body; equal for a repeat.
         """
         if key.service != service or not key.is_signed_by(self._secret):
             return Denied(ResultCode.KEY_MALFORMED)
         now = self._clock.now()
         record = self._record_by_key.get(key.text)
         if record is not None:
-            return self._repeat(record, fingerprint)
+            return self._claim_repeat(record, fingerprint)
         if now >= self._expiry(key):
             return Denied(ResultCode.KEY_EXPIRED)
         if len(self._record_by_key) >= self._max_records:
@@ -179,39 +179,41 @@
         return Claimed(record)
 
     def answered(self, record: KeyRecord, answer: KeptAnswer | None) -> None:
-        """Note that the request ran; ``answer`` is None if too large to keep."""
+        """Record that the request was executed; ``answer`` is None if too large to keep."""
         record.state = KeyState.ANSWERED
         if answer is None or answer.size > MAX_ANSWER_BYTES:
             return
         record.answer = answer
         self._answers_bytes += answer.size
-        self._with_answer.append(record)
+        self._records_with_answer.append(record)
         while self._answers_bytes > self._max_answers_bytes:
-            self._drop_answer(self._with_answer.popleft())
+            self._drop_answer(self._records_with_answer.popleft())
 
     def not_run(self, record: KeyRecord) -> None:
-        """Note that the request truly did not run, so that a repeat may."""
+        """Record that the request was certainly not executed, so that a repeat may be."""
         self._record_by_key.pop(record.text, None)
 
     def lost(self, record: KeyRecord) -> None:
-        """Note that it cannot be known whether the request ran; no repeat will."""
+        """Record that it is unknown whether the request was executed; repeats are denied."""
         record.state = KeyState.UNKNOWN
 
     def expire(self) -> None:
-        """Drop records of keys whose lifetime is over, unless still running."""
+        """Drop records of expired keys, unless their requests are still running."""
         now = self._clock.now()
-        old = [
+        expired = [
             record
             for record in self._record_by_key.values()
             if record.expires <= now and record.state is not KeyState.RUNNING
         ]
-        for record in old:
+        for record in expired:
             del self._record_by_key[record.text]
             self._drop_answer(record)
-        if old:
-            self._with_answer = deque(r for r in self._with_answer if r.answer is not None)
+        if expired:
+            self._records_with_answer = deque(
+                r for r in self._records_with_answer if r.answer is not None
+            )
 
-    def _repeat(self, record: KeyRecord, fingerprint: bytes) -> Claim:
+    def _claim_repeat(self, record: KeyRecord, fingerprint: bytes) -> Claim:
         if record.fingerprint != fingerprint:
             return Denied(ResultCode.KEY_MISUSED)
         if record.state is KeyState.RUNNING:
--- a/src/hoisthook/idempotency/replay_window.py
+++ b/src/hoisthook/idempotency/replay_window.py
@@ -1,4 +1,4 @@
-"""Recognises an attempt that arrives twice."""
+"""Detection of attempts that arrive twice."""
 
 from __future__ import annotations
 
@@ -8,19 +8,20 @@
 if TYPE_CHECKING:
     from hoisthook.identity import Incarnation
 
+# Attempts per sender that are tracked below the highest number.
 WINDOW = 1024
 MAX_SENDERS = 32_768
 _MASK = (1 << WINDOW) - 1
 
 
 class ReplayWindow:
-    """Remembers which numbered attempts each sender incarnation has made.
+    """Sliding window of the attempt numbers received from each sender incarnation.
 
-    Attempts are numbered upwards by their sender. Numbers below the highest seen
-    by `WINDOW` or more are refused unseen, so memory is one integer a sender;
-    an attempt that is overtaken by that many others was given up on long since.
-    A sender is forgotten once `MAX_SENDERS` others have sent after it; a copy of
-    its attempt that is older than that would not be recognised.
+    Senders number their attempts in increasing order. A number that is `WINDOW` or more
+    below the highest one is rejected even if it is new, so that the state per sender is
+    one integer; the sender of an attempt overtaken by that many others has long since
+    given it up. A sender is evicted once `MAX_SENDERS` others have sent after it; a
+    duplicate of an attempt from before the eviction is not detected.
     """
 
     def __init__(self) -> None:
@@ -30,7 +31,7 @@
         return len(self._seen_by_sender)
 
     def accept(self, sender: Incarnation, number: int) -> bool:
-        """Return whether the attempt is seen for the first time, and note it."""
+        """Record an attempt; return whether it arrived for the first time."""
         highest, bits = self._seen_by_sender.get(sender, (-1, 0))
         if number > highest:
             shift = number - highest
--- a/src/hoisthook/local_backend/crash_monitor.py
+++ b/src/hoisthook/local_backend/crash_monitor.py
@@ -91,7 +91,7 @@
     def ran_well(self, call: KnownWork) -> None:
         """Take in that a request has run to a good end."""
         is_large = len(call.body) > MAX_REMEMBERED_BYTES
-        if is_large and not self._evidence.suspects(self.service):
+        if is_large and not self._evidence.has_evidence(self.service):
             return
         self._successful_runs.note(call.work)
         self._evidence.ran_well(self.service, call.work, self._clock.now())
@@ -102,7 +102,7 @@
         What cannot run without harm is refused before it has a slot: it would take the server and
         all that runs there with it.
         """
-        if not call.is_complete or not self._evidence.suspects(self.service):
+        if not call.is_complete or not self._evidence.has_evidence(self.service):
             return None
-        seconds = self._evidence.refused_for(self.service, call.work, self._clock.now())
+        seconds = self._evidence.rejected_for(self.service, call.work, self._clock.now())
         return Refused(ResultCode.WORK_ENDS_SERVERS, seconds) if seconds > 0 else None
--- a/src/hoisthook/local_backend/repeat_limit.py
+++ b/src/hoisthook/local_backend/repeat_limit.py
@@ -11,7 +11,7 @@
 from hoisthook.result_code import ResultCode
 from hoisthook.retry.arrival import Arrival
 from hoisthook.retry.arrival_budget import ArrivalBudget
-from hoisthook.retry.arrival_budget import part_of
+from hoisthook.retry.arrival_budget import node_part
 from hoisthook.retry.caller_share import CallerShares
 
 if TYPE_CHECKING:
@@ -129,8 +129,8 @@
         self._seen = seen
         nodes = self._nodes.nodes_of_own_service() if self._nodes.is_complete else []
         self._shared_by = len(nodes)
-        part = part_of(self._settings.extra, self._node, nodes) if nodes else 0.0
-        self._budget.has_part(part, self._clock.now())
+        part = node_part(self._settings.extra, self._node, nodes) if nodes else 0.0
+        self._budget.set_part(part, self._clock.now())
 
     def refuse(self, call: Try) -> Refused | None:
         """Refuse a repeat that has no room in the budget."""
@@ -159,11 +159,11 @@
         self._budget.arrived(call.arrival, now)
         if call.arrival is Arrival.FIRST:
             self._callers.learn(call.route, call.idle_observation)
-            requests = self._callers.counted(call.route)
+            requests = self._callers.caller_weight(call.route)
             self._requests += requests
-            self._budget.requested(requests, now)
+            self._budget.record_requests(requests, now)
             self._arrived += call.by_repeat
-            self._budget.called(call.by_repeat, now)
+            self._budget.charge_call(call.by_repeat, now)
         else:
             self._arrived += 1
             self._tell(call, now, granted=True)
@@ -183,7 +183,7 @@
         told nothing: where they begin other services would hold their repeats for them.
         """
         is_call = self._callers.share(call.route) < CALLED_SHARE
-        return is_call and self._budget.owes(self._clock.now())
+        return is_call and self._budget.is_overdrawn(self._clock.now())
 
     def called_owes(self, call: Try) -> None:
         """Take in that the service that a call went to owes.
--- a/src/hoisthook/mesh/configuration_watch.py
+++ b/src/hoisthook/mesh/configuration_watch.py
@@ -258,7 +258,7 @@
             self._evacuated.take_changes(page.records)
         self._offset = page.end
         has_records = self._take(page)
-        if self._lease.is_bound and not self._is_unread(page):
+        if self._lease.is_limited and not self._is_unread(page):
             self._lease.confirmed(begun)
         return has_records
 
--- a/src/hoisthook/mesh/crash_records.py
+++ b/src/hoisthook/mesh/crash_records.py
@@ -11,7 +11,7 @@
 from hoisthook.background_tasks import BackgroundTasks
 from hoisthook.exceptions import StoreUnavailableError
 from hoisthook.port.record_store import KeyedRecord
-from hoisthook.retry.crash_evidence import LIFE_SECONDS
+from hoisthook.retry.crash_evidence import EVIDENCE_TTL_SECONDS
 from hoisthook.retry.crash_evidence import CrashReport
 
 if TYPE_CHECKING:
@@ -92,7 +92,7 @@
         self._writing = BackgroundTasks()
         # What this node keeps in the store now.
         self._kept_by_key: dict[str, KeyedRecord] = {}
-        evidence.on_refused(self._refused)
+        evidence.on_rejected(self._refused)
 
     def close(self) -> None:
         """Stop writing."""
@@ -135,13 +135,13 @@
         """
         self._kept_by_key[record.key] = record
         await self._write(record)
-        while (left := self._evidence.refused_for(service, work, self._clock.now())) > 0:
+        while (left := self._evidence.rejected_for(service, work, self._clock.now())) > 0:
             await asyncio.sleep(left)
         del self._kept_by_key[record.key]
         await self._write(KeyedRecord(record.key, b""))
 
     async def _write(self, record: KeyedRecord) -> None:
-        until = self._clock.now() + LIFE_SECONDS
+        until = self._clock.now() + EVIDENCE_TTL_SECONDS
         while self._clock.now() < until:
             try:
                 await self._store.put(self._topic, record)
--- a/src/hoisthook/mesh/quota_exchange.py
+++ b/src/hoisthook/mesh/quota_exchange.py
@@ -13,8 +13,8 @@
 from hoisthook.mesh.team_quotas import QUOTA_PATH
 from hoisthook.node.call import Lost
 from hoisthook.teams.quota_coordinator import QuotaCoordinator
-from hoisthook.teams.quota_messages import QuotaAnswer
-from hoisthook.teams.quota_messages import QuotaQuestion
+from hoisthook.teams.quota_messages import QuotaReply
+from hoisthook.teams.quota_messages import QuotaRequest
 from hoisthook.teams.quota_owners import QuotaOwners
 
 if TYPE_CHECKING:
@@ -34,8 +34,8 @@
 # A request waits for the answer; another node is asked in place of one that takes longer.
 CONNECT_SECONDS = 0.1
 ANSWER_SECONDS = 0.15
-_QUESTION = msgspec.msgpack.Decoder(QuotaQuestion)
-_ANSWER = msgspec.msgpack.Decoder(QuotaAnswer)
+_QUESTION = msgspec.msgpack.Decoder(QuotaRequest)
+_ANSWER = msgspec.msgpack.Decoder(QuotaReply)
 
 
 class QuotaExchange:
@@ -79,7 +79,7 @@
             return
         self._known_digest = directory.digest
         self._near = frozenset(v.address for v in directory.others() if v.same_data_centre)
-        self.quota_coordinator.knows(QuotaOwners(directory.views()))
+        self.quota_coordinator.set_owners(QuotaOwners(directory.views()))
 
     def close(self) -> None:
         """Stop what is under way."""
@@ -98,9 +98,9 @@
         """Note that another node was heard from."""
         self.refresh()
         if address in self._near:
-            self.quota_coordinator.heard()
+            self.quota_coordinator.peer_contacted()
 
-    async def ask(self, quota_peer: QuotaPeer, question: QuotaQuestion) -> QuotaAnswer | None:
+    async def query_peer(self, quota_peer: QuotaPeer, question: QuotaRequest) -> QuotaReply | None:
         """Return a node's answer, or None if it gave none."""
         try:
             connection = await self._pool.acquire(quota_peer.address, CONNECT_SECONDS)
@@ -130,7 +130,7 @@
         answer = await self.quota_coordinator.answer(asked)
         exchange.respond(200, [], msgspec.msgpack.encode(answer))
 
-    def _read(self, data: bytes) -> QuotaAnswer | None:
+    def _read(self, data: bytes) -> QuotaReply | None:
         try:
             return _ANSWER.decode(data)
         except msgspec.DecodeError as error:
--- a/src/hoisthook/node/idempotency_handler.py
+++ b/src/hoisthook/node/idempotency_handler.py
@@ -126,7 +126,7 @@
         if key is None or key.service != call.spec.name:
             self._deny(exchange, call, ResultCode.KEY_MALFORMED)
             return
-        if not self._register.is_mine(key):
+        if not self._register.was_issued_here(key):
             await self._ask_holder(exchange, call, key)
             return
         claim = self._register.claim(key, ServiceName(call.spec.name), _fingerprint(call))
--- a/src/hoisthook/node/node.py
+++ b/src/hoisthook/node/node.py
@@ -409,7 +409,7 @@
             self.register.expire()
             self._hop_pool.drop_idle()
             self._backend_pool.drop_idle()
-            self._router.forget_gone()
+            self._router.drop_removed()
             self._dispatcher.forget(set(self.state.service_by_name))
 
     async def _publish_forever(self) -> None:
--- a/src/hoisthook/retry/arrival.py
+++ b/src/hoisthook/retry/arrival.py
@@ -1,4 +1,4 @@
-"""What a node knows of a request's earlier tries when it hands it to the next node."""
+"""What a node knows of a request's earlier attempts when it forwards it to the next node."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 
 
 class Arrival(Enum):
-    """Which arrival at a backend server a try would be."""
+    """Which kind of arrival at a backend server an attempt would be."""
 
     FIRST = "f"
-    """No backend server has got the request before."""
+    """No backend server has received the request before."""
 
     UNHEARD = "u"
-    """It was sent to a node that was silent, and may arrive there yet."""
+    """It was sent to an unresponsive node and may still arrive there."""
 
     REDIRECTED = "a"
-    """A backend server has rejected it, and it has not run."""
+    """A backend server has rejected it, and it has not been executed."""
 
     RERUN = "r"
-    """It has run or may have run, and makes its calls again."""
+    """It has or may have been executed, and makes its calls again."""
 
     @property
     def is_repeat(self) -> bool:
-        """Return whether it counts against the budget of repeats."""
+        """Return whether it counts against the repeat budget."""
         return self is not Arrival.FIRST
--- a/src/hoisthook/retry/arrival_budget.py
+++ b/src/hoisthook/retry/arrival_budget.py
@@ -1,4 +1,4 @@
-"""A budget of repeats at one backend server, a part of what all nodes of its service share."""
+"""The repeat budget at one backend server: its part of the budget of the service."""
 
 from __future__ import annotations
 
@@ -15,31 +15,31 @@
 
     from hoisthook.identity import NodeId
 
-# Of a node's part of the fixed number: what can be saved up, and what accrues in a window.
+# Shares of a node's part of the fixed budget: what can be saved up, and what accrues in a window.
 SAVED_SHARE = 0.25
 ACCRUED_SHARE = 0.5
-# What tries may use beyond it whose first was given up at a silent node.
-UNHEARD_SHARE = 0.25
-# Of what is saved up and accrues, for reruns.
+# Share of the part that attempts may overdraw if an earlier one timed out at an unresponsive node.
+PENDING_SHARE = 0.25
+# Share of the tokens, saved and accruing, that reruns may take.
 RERUN_SHARE = 0.2
-# Tokens below which a node's part cannot be saved up and spent whole.
-MIN_PART = 2.0
-# Tokens that one repeat takes.
-TRY = 1.0
+# Smallest part, in tokens, that can be saved up and spent completely.
+MIN_SPENDABLE_PART = 2.0
+# Tokens per repeat.
+REPEAT_COST = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class RetrySettings:
-    """The budget of repeats of a service, all its backend servers together.
+    """The repeat budget of a service, for all its backend servers together.
 
     Attributes
     ----------
     ratio : float
-        Repeats per request of callers.
+        Repeats allowed per request of callers.
     window : float
-        Seconds.
+        Length of the window in seconds.
     extra : float
-        Repeats that may arrive in a window besides.
+        Fixed budget: repeats allowed per window in addition.
     """
 
     ratio: float
@@ -48,16 +48,16 @@
 
 
 class ArrivalBudget:
-    """Tokens that accrue with time and with requests; each repeat that arrives takes one.
+    """Token bucket filled by time and by requests; each repeat that arrives takes a token.
 
-    Load pattern: a service turns away most of what it gets, while nodes are killed and started
-    in series. A count of the last window begins empty at each start, so that each start has the
-    fixed number once more; tokens that begin at none make a start a loss. What is saved up and
-    what accrues in a window are within the node's part, so no window of all nodes together holds
-    more, however often they start.
+    Load pattern: a service rejects most requests while its nodes are killed and restarted one
+    after the other. A counter of the last window would be empty after each start and so grant
+    the fixed budget again; a bucket that starts empty makes a restart a loss instead. Saved
+    tokens and the accrual of one window together stay within the node's part, so all nodes
+    together never exceed the budget in any window, however often they restart.
 
-    Reruns have a part only: they are late and make their calls again, at a service that may be
-    the one that is short.
+    Reruns may take only a share of the tokens: they are late and make their calls again, possibly
+    to the very service that is overloaded.
 
     Parameters
     ----------
@@ -69,97 +69,103 @@
 
     def __init__(self, settings: RetrySettings, now: float) -> None:
         self._settings = settings
-        self._all = TokenBucket(0.0, 0.0, 0.0, now)
+        self._repeats = TokenBucket(0.0, 0.0, 0.0, now)
         self._reruns = TokenBucket(0.0, 0.0, 0.0, now)
         self.part = 0.0
 
-    def has_part(self, part: float, now: float) -> None:
-        """Set this node's part of the fixed number; 0 while it is not known."""
+    def set_part(self, part: float, now: float) -> None:
+        """Set this node's part of the fixed budget in tokens; 0 while it is not known."""
         if part == self.part:
             return
         self.part = part
-        depth = min(part, max(TRY, SAVED_SHARE * part))
+        depth = min(part, max(REPEAT_COST, SAVED_SHARE * part))
         rate = min(ACCRUED_SHARE * part, part - depth) / self._settings.window
-        self._all.resize(rate, depth, now)
-        self._reruns.resize(RERUN_SHARE * rate, min(depth, max(TRY, RERUN_SHARE * depth)), now)
+        self._repeats.resize(rate, depth, now)
+        self._reruns.resize(
+            RERUN_SHARE * rate, min(depth, max(REPEAT_COST, RERUN_SHARE * depth)), now
+        )
 
-    def requested(self, requests: float, now: float) -> None:
-        """Take in that requests of callers have arrived for the first time."""
+    def record_requests(self, requests: float, now: float) -> None:
+        """Add the tokens for requests of callers that have arrived for the first time."""
         tokens = self._settings.ratio * requests
-        self._all.put_back(tokens, now)
+        self._repeats.put_back(tokens, now)
         self._reruns.put_back(RERUN_SHARE * tokens, now)
 
     def allows(self, arrival: Arrival, now: float) -> bool:
-        """Return whether a try may arrive."""
-        floor = self._floor(arrival)
-        return all(bucket.level(now) >= floor - ROUNDING for bucket in self._needed(arrival))
+        """Return whether the budget allows an attempt."""
+        min_level = self._min_level(arrival)
+        return all(bucket.level(now) >= min_level - ROUNDING for bucket in self._buckets(arrival))
 
     def arrived(self, arrival: Arrival, now: float) -> None:
-        """Take what a try costs."""
-        for bucket in self._needed(arrival):
-            bucket.take(TRY, now)
+        """Take the tokens for an attempt that has arrived."""
+        for bucket in self._buckets(arrival):
+            bucket.take(REPEAT_COST, now)
 
-    def called(self, repeat: float, now: float) -> None:
-        """Take what a call costs that may be made by a repeated run, whatever is left.
+    def charge_call(self, repeat_chance: float, now: float) -> None:
+        """Take the tokens for a call that a repeated execution may have made, even into debt.
 
-        Turned away, it would spoil the run that waits for it.
+        Rejecting the call would waste the execution that waits for it.
 
         Parameters
         ----------
-        repeat : float
-            Chance that the run is a repeat.
+        repeat_chance : float
+            Probability that the calling execution is a repeat, from 0 to 1.
         now : float
-            The moment.
+            Seconds on a monotonic clock.
         """
-        self._all.take(TRY * repeat, now)
+        self._repeats.take(REPEAT_COST * repeat_chance, now)
 
-    def owes(self, now: float) -> bool:
-        """Return whether calls of repeated runs have taken more than is left for them."""
-        return self._all.level(now) < 0.0
+    def is_overdrawn(self, now: float) -> bool:
+        """Return whether calls of repeated executions have overdrawn the budget."""
+        return self._repeats.level(now) < 0.0
 
     def opens_in(self, arrival: Arrival, now: float) -> float:
-        """Return the seconds until a try may arrive, without requests that come meanwhile."""
-        floor = self._floor(arrival)
-        return max((bucket.seconds_to(floor, now) for bucket in self._needed(arrival)), default=0.0)
+        """Return the seconds until an attempt is allowed if no request adds tokens meanwhile."""
+        min_level = self._min_level(arrival)
+        return max(
+            (bucket.seconds_to(min_level, now) for bucket in self._buckets(arrival)), default=0.0
+        )
 
     def level(self, now: float) -> float:
-        """Return the tokens that are left."""
-        return self._all.level(now)
+        """Return the tokens that are left; below 0 if overdrawn."""
+        return self._repeats.level(now)
 
-    def _floor(self, arrival: Arrival) -> float:
-        """Return the level from which on a try may arrive.
+    def _min_level(self, arrival: Arrival) -> float:
+        """Return the lowest level at which an attempt is allowed.
 
-        Most of what is given up at a silent node never arrives there: it may be owed.
+        Most requests that time out at an unresponsive node never arrive there, so a repeat of
+        one may overdraw the budget.
         """
-        return -UNHEARD_SHARE * self.part if arrival is Arrival.UNHEARD else TRY
+        return -PENDING_SHARE * self.part if arrival is Arrival.UNHEARD else REPEAT_COST
 
-    def _needed(self, arrival: Arrival) -> tuple[TokenBucket, ...]:
+    def _buckets(self, arrival: Arrival) -> tuple[TokenBucket, ...]:
         match arrival:
             case Arrival.FIRST:
                 return ()
             case Arrival.UNHEARD | Arrival.REDIRECTED:
-                return (self._all,)
+                return (self._repeats,)
             case Arrival.RERUN:
-                return (self._all, self._reruns)
+                return (self._repeats, self._reruns)
 
 
-def part_of(extra: float, node: NodeId, nodes: Iterable[NodeId]) -> float:
-    """Return a node's part of the fixed number.
+def node_part(extra: float, node: NodeId, nodes: Iterable[NodeId]) -> float:
+    """Return a node's part of the fixed budget in tokens.
 
-    Equal parts, unless these are too small to spend: then as many nodes as can have a part of use
-    have one, by a hash, so that nodes that know the same others agree on who they are.
+    Parts are equal unless they would be too small to spend. In that case as many nodes as
+    possible get the smallest spendable part and the others none. The nodes are selected by a
+    hash, so that nodes with the same membership view select the same ones.
 
     Parameters
     ----------
     extra : float
-        The fixed number.
+        The fixed budget in tokens.
     node : NodeId
-        Whose part.
+        The node whose part is returned.
     nodes : iterable of NodeId
-        All that share it, this one among them.
+        All nodes that share the budget, including ``node``.
     """
-    sharing = set(nodes)
-    if extra >= MIN_PART * len(sharing):
-        return extra / max(1, len(sharing))
-    first = sorted(sharing, key=lambda other: (zlib.crc32(other.encode()), other))
-    return MIN_PART if node in first[: int(extra / MIN_PART)] else 0.0
+    node_set = set(nodes)
+    if extra >= MIN_SPENDABLE_PART * len(node_set):
+        return extra / max(1, len(node_set))
+    ranked = sorted(node_set, key=lambda candidate: (zlib.crc32(candidate.encode()), candidate))
+    return MIN_SPENDABLE_PART if node in ranked[: int(extra / MIN_SPENDABLE_PART)] else 0.0
--- a/src/hoisthook/retry/crash_evidence.py
+++ b/src/hoisthook/retry/crash_evidence.py
@@ -1,4 +1,4 @@
-"""Which work has ended backend servers, as far as a node knows."""
+"""Evidence of which work has crashed backend servers, as known to one node."""
 
 from __future__ import annotations
 
@@ -21,31 +21,32 @@
 
     from hoisthook.port.event_sink import EventSink
 
-# Ends of different incarnations after which work is refused. What runs beside it in a backend
-# server that ends is seen there too: it shares one end, seldom two, and a third only by chance.
+# Crashes of different incarnations after which work is rejected. Unrelated work that runs in the
+# same backend server shares one crash, rarely two, and a third only by chance.
 ENDS_NEEDED = 3
-# How long work is held to be what ended them after the last end: it may come again for as long as
-# somebody repeats it, and is tried anew only after operators had time to see it.
-LIFE_SECONDS = 600.0
-# Works held at once. An end adds as many as ran in it; the most urgent to keep have most ends.
+# Seconds after the last crash for which evidence is kept. The work may arrive again for as long as
+# a caller repeats it; it is admitted again only after operators have had time to see the events.
+EVIDENCE_TTL_SECONDS = 600.0
+# Works tracked at once. A crash adds all works that ran in the backend server; eviction keeps those
+# with the most crashes.
 MAX_WORKS = 512
-# In place of an incarnation where work has ended well.
-RAN_WELL = InstanceId("")
+# Stands in place of an incarnation in a report that the work has succeeded.
+SUCCEEDED = InstanceId("")
 
 
 class CrashReport(msgspec.Struct, frozen=True):
-    """An incarnation that ended while it ran some work, or that work having ended well.
+    """A crash of an incarnation while it executed some work, or a success of that work.
 
     Attributes
     ----------
     service : ServiceName
-        Whose backend server ran it.
+        Service of the backend server that executed it.
     work : WorkId
-        What it ran.
+        The work that was executed.
     instance : InstanceId
-        The incarnation that ended; `RAN_WELL` where some incarnation ran it to a good end.
+        The incarnation that crashed; `SUCCEEDED` if some incarnation completed the work.
     age : float
-        Seconds since then; clocks of instances differ.
+        Seconds since then; an age, since the clocks of instances differ.
     """
 
     service: ServiceName
@@ -56,177 +57,183 @@
 
 @dataclass(slots=True)
 class _Suspect:
-    """What is known of some work."""
+    """Crashes and the last success known of one work."""
 
     at_by_instance: dict[InstanceId, float] = field(default_factory=dict)
-    is_refused: bool = False
+    is_rejected: bool = False
 
     @property
-    def ends(self) -> list[InstanceId]:
-        return [instance for instance in self.at_by_instance if instance != RAN_WELL]
+    def crashed_instances(self) -> list[InstanceId]:
+        return [instance for instance in self.at_by_instance if instance != SUCCEEDED]
 
     @property
     def last_at(self) -> float:
         return max(self.at_by_instance.values())
 
-    def note(self, instance: InstanceId, at: float) -> bool:
-        """Take in a report; return whether it says anything new."""
-        if instance == RAN_WELL:
-            return self._note_well(at)
-        if instance in self.at_by_instance or at <= self.at_by_instance.get(RAN_WELL, -math.inf):
+    def record(self, instance: InstanceId, at: float) -> bool:
+        """Record a report; return whether it added anything new."""
+        if instance == SUCCEEDED:
+            return self._record_success(at)
+        if instance in self.at_by_instance or at <= self.at_by_instance.get(SUCCEEDED, -math.inf):
             return False
         self.at_by_instance[instance] = at
         return True
 
-    def _note_well(self, at: float) -> bool:
-        if self.at_by_instance.get(RAN_WELL, -math.inf) >= at:
+    def _record_success(self, at: float) -> bool:
+        if self.at_by_instance.get(SUCCEEDED, -math.inf) >= at:
             return False
-        self.at_by_instance = {i: ended for i, ended in self.at_by_instance.items() if ended > at}
-        self.at_by_instance[RAN_WELL] = at
+        self.at_by_instance = {
+            i: crashed_at for i, crashed_at in self.at_by_instance.items() if crashed_at > at
+        }
+        self.at_by_instance[SUCCEEDED] = at
         return True
 
 
 class CrashEvidence:
-    """Counts the ends under each work, and says which work is refused.
+    """Counts the crashes under each work and decides which work is rejected.
 
-    Load pattern: one caller repeats a request that ends every backend server that begins to run
-    it, a few times a second, through any node; each is away for some seconds and takes with it
-    what runs beside. Sent on every time, it ended 25 backend servers of four in twelve sends. No
-    single node sees enough of it, so reports of ends are told to all nodes of the service.
+    Load pattern: one caller repeats a request that crashes every backend server that starts to
+    execute it, a few times a second, through any node. Each crash takes the backend server down
+    for some seconds and loses the other requests that it runs. Forwarded every time, twelve sends
+    of such a request crashed four backend servers 25 times. No single node sees enough crashes to
+    decide, so crash reports are sent to all nodes of the service.
 
-    Work is refused once three incarnations have ended under it and none has run it to a good end
-    since the first. Ends of one incarnation count once, whoever tells of them. Where a whole data
-    centre loses power the nodes that could tell of ends are gone too, so nothing is held against
-    what ran there.
+    Work is rejected once `ENDS_NEEDED` incarnations have crashed under it and none has completed
+    it since the first crash. Crashes of one incarnation count once, whichever node reports them.
+    Where a whole data centre loses power, the nodes that could report crashes stop as well, so
+    the work that ran there is not blamed.
 
     Parameters
     ----------
     log : EventSink
-        Gets a line for each work that is refused from now on, or no more.
+        Receives an event for each work when its rejection begins or ends.
     """
 
     def __init__(self, log: EventSink) -> None:
         self._log = log
         self._by_service: dict[ServiceName, dict[WorkId, _Suspect]] = {}
-        # Told with each question between nodes, and seldom different.
+        # Cached: sent with each request between nodes, and rarely changed.
         self._digest_by_service: dict[ServiceName, int] = {}
-        self._on_refused: list[Callable[[ServiceName, WorkId], None]] = []
+        self._on_rejected: list[Callable[[ServiceName, WorkId], None]] = []
 
-    def on_refused(self, listener: Callable[[ServiceName, WorkId], None]) -> None:
-        """Have ``listener`` told of work that is refused from now on."""
-        self._on_refused.append(listener)
+    def on_rejected(self, listener: Callable[[ServiceName, WorkId], None]) -> None:
+        """Call ``listener`` with each work whose rejection begins."""
+        self._on_rejected.append(listener)
 
     def __len__(self) -> int:
         return sum(len(suspects) for suspects in self._by_service.values())
 
     @property
     def refused(self) -> int:
-        """Return how much work is refused."""
+        """Return how many works are rejected."""
         suspects = (s for by_work in self._by_service.values() for s in by_work.values())
-        return sum(suspect.is_refused for suspect in suspects)
+        return sum(suspect.is_rejected for suspect in suspects)
 
-    def suspects(self, service: ServiceName) -> bool:
-        """Return whether anything is held against any work of a service."""
+    def has_evidence(self, service: ServiceName) -> bool:
+        """Return whether there is a report on any work of a service."""
         return service in self._by_service
 
-    def refused_for(self, service: ServiceName, work: WorkId, now: float) -> float:
-        """Return for how many seconds some work is refused; 0 if it is not."""
+    def rejected_for(self, service: ServiceName, work: WorkId, now: float) -> float:
+        """Return for how many more seconds a work is rejected; 0 if it is not."""
         suspect = self._by_service.get(service, {}).get(work)
-        if suspect is None or not suspect.is_refused:
+        if suspect is None or not suspect.is_rejected:
             return 0.0
-        return max(0.0, suspect.last_at + LIFE_SECONDS - now)
+        return max(0.0, suspect.last_at + EVIDENCE_TTL_SECONDS - now)
 
     def ended(self, service: ServiceName, work: WorkId, instance: InstanceId, now: float) -> None:
-        """Note that an incarnation ended while it ran some work."""
-        self._note(service, work, instance, now)
+        """Record that an incarnation crashed while it executed a work."""
+        self._record(service, work, instance, now)
 
     def ran_well(self, service: ServiceName, work: WorkId, now: float) -> None:
-        """Note that some work has run to a good end, so that it has not ended those before."""
+        """Record that a work has succeeded, which clears its earlier crashes."""
         if work in self._by_service.get(service, {}):
-            self._note(service, work, RAN_WELL, now)
+            self._record(service, work, SUCCEEDED, now)
 
     def merge(self, reports: Sequence[CrashReport], now: float) -> bool:
-        """Take in what another node tells; return whether any of it is new."""
+        """Record the reports of another node; return whether any of them is new."""
         if not reports:
             return False
         new = [
-            self._note(report.service, report.work, report.instance, now - max(0.0, report.age))
+            self._record(report.service, report.work, report.instance, now - max(0.0, report.age))
             for report in reports
-            if report.age < LIFE_SECONDS
+            if report.age < EVIDENCE_TTL_SECONDS
         ]
-        self._drop_old(now)
+        self._drop_expired(now)
         return any(new)
 
     def reports(self, service: ServiceName, now: float) -> list[CrashReport]:
-        """Return all that is held against work of a service."""
-        self._drop_old(now)
+        """Return all reports on works of a service."""
+        self._drop_expired(now)
         works = self._by_service.get(service, {})
         return [report for work in works for report in self.reports_of(service, work, now)]
 
     def all_reports(self, now: float) -> tuple[CrashReport, ...]:
-        """Return all that is held against work of any service."""
+        """Return all reports on works of any service."""
         services = list(self._by_service)
         return tuple(report for service in services for report in self.reports(service, now))
 
     def reports_of(self, service: ServiceName, work: WorkId, now: float) -> Iterator[CrashReport]:
-        """Yield what is held against some work."""
+        """Yield the reports on one work."""
         suspect = self._by_service[service][work]
         for instance, at in suspect.at_by_instance.items():
             yield CrashReport(service, work, instance, max(0.0, now - at))
 
     def digest(self, service: ServiceName) -> int:
-        """Return a number that is equal in two nodes that hold the same; 0 for nothing."""
+        """Return a checksum that is equal in nodes with the same reports; 0 if there are none."""
         known = self._digest_by_service.get(service)
         if known is not None:
             return known
-        found = 0
+        digest = 0
         for work, suspect in self._by_service.get(service, {}).items():
             for instance in suspect.at_by_instance:
-                found ^= zlib.crc32(f"{work} {instance}".encode())
-        self._digest_by_service[service] = found
-        return found
+                digest ^= zlib.crc32(f"{work} {instance}".encode())
+        self._digest_by_service[service] = digest
+        return digest
 
-    def _note(self, service: ServiceName, work: WorkId, instance: InstanceId, at: float) -> bool:
+    def _record(self, service: ServiceName, work: WorkId, instance: InstanceId, at: float) -> bool:
         works = self._by_service.setdefault(service, {})
         suspect = works.setdefault(work, _Suspect())
-        if not suspect.note(instance, at):
+        if not suspect.record(instance, at):
             return False
         self._digest_by_service.pop(service, None)
-        self._judge(service, work, suspect)
-        self._make_room()
+        self._update_rejection(service, work, suspect)
+        self._evict_excess()
         return True
 
-    def _judge(self, service: ServiceName, work: WorkId, suspect: _Suspect) -> None:
-        was_refused = suspect.is_refused
-        ends = suspect.ends
-        suspect.is_refused = len(ends) >= ENDS_NEEDED
-        if was_refused and not suspect.is_refused:
+    def _update_rejection(self, service: ServiceName, work: WorkId, suspect: _Suspect) -> None:
+        was_rejected = suspect.is_rejected
+        crashed = suspect.crashed_instances
+        suspect.is_rejected = len(crashed) >= ENDS_NEEDED
+        if was_rejected and not suspect.is_rejected:
             self._log.event("work_cleared", service=service, work=work)
-        if suspect.is_refused and not was_refused:
-            self._log.event("work_refused", service=service, work=work, ended=ends)
-            for listener in self._on_refused:
+        if suspect.is_rejected and not was_rejected:
+            self._log.event("work_refused", service=service, work=work, ended=crashed)
+            for listener in self._on_rejected:
                 listener(service, work)
 
-    def _drop_old(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         for service, works in list(self._by_service.items()):
-            kept = {w: s for w, s in works.items() if s.last_at > now - LIFE_SECONDS}
+            kept = {w: s for w, s in works.items() if s.last_at > now - EVIDENCE_TTL_SECONDS}
             if len(kept) < len(works):
-                self._keep(service, kept)
+                self._replace_works(service, kept)
 
-    def _make_room(self) -> None:
-        """Let go of work with the fewest ends, the oldest first, so that callers push out none."""
+    def _evict_excess(self) -> None:
+        """Evict the work with the fewest crashes, the oldest first.
+
+        By this order a flood of other work cannot push out work that is rejected.
+        """
         if len(self) <= MAX_WORKS:
             return
         held = [
-            (len(suspect.ends), suspect.last_at, service, work)
+            (len(suspect.crashed_instances), suspect.last_at, service, work)
             for service, works in self._by_service.items()
             for work, suspect in works.items()
         ]
         _, _, service, work = min(held)
         kept = {w: s for w, s in self._by_service[service].items() if w != work}
-        self._keep(service, kept)
+        self._replace_works(service, kept)
 
-    def _keep(self, service: ServiceName, works: dict[WorkId, _Suspect]) -> None:
+    def _replace_works(self, service: ServiceName, works: dict[WorkId, _Suspect]) -> None:
         self._digest_by_service.pop(service, None)
         if works:
             self._by_service[service] = works
--- a/src/hoisthook/retry/hedge_timer.py
+++ b/src/hoisthook/retry/hedge_timer.py
@@ -1,30 +1,30 @@
-"""When a repeatable request is late enough to be hedged."""
+"""The delay after which a repeatable request is hedged."""
 
 from __future__ import annotations
 
-FACTOR = 2.0
-START_SECONDS = 0.025
-MIN_SECONDS = 0.002
-STEP = 0.02
+MEDIAN_FACTOR = 2.0
+INITIAL_MEDIAN_SECONDS = 0.025
+MIN_DELAY_SECONDS = 0.002
+STEP_SHARE = 0.02
 
 
 class HedgeTimer:
-    """Hedges what takes `FACTOR` times the usual, the median of the answer times.
+    """Hedges requests that take longer than `MEDIAN_FACTOR` times the median answer time.
 
-    A high quantile would follow the very slowness that hedging is meant for: where
-    more requests are slow than the quantile leaves out, it learns to wait for them.
-    Each answer moves the median's estimate up or down by a step proportional to it.
+    A high quantile would follow the slow requests that hedging is meant for: if more
+    requests are slow than the quantile leaves out, the delay grows to their latency.
+    Each answer moves the estimated median up or down by `STEP_SHARE` of its value.
     """
 
     def __init__(self) -> None:
-        self._median = START_SECONDS
+        self._median = INITIAL_MEDIAN_SECONDS
 
     @property
     def delay(self) -> float:
-        """Return the seconds after which to hedge."""
-        return max(MIN_SECONDS, FACTOR * self._median)
+        """Return the hedging delay in seconds."""
+        return max(MIN_DELAY_SECONDS, MEDIAN_FACTOR * self._median)
 
     def answered(self, seconds: float) -> None:
-        """Learn from one answer time."""
-        step = STEP * self._median
+        """Update the median with one answer time in seconds."""
+        step = STEP_SHARE * self._median
         self._median += step if seconds > self._median else -step
--- a/src/hoisthook/retry/idle_tracker.py
+++ b/src/hoisthook/retry/idle_tracker.py
@@ -1,27 +1,27 @@
-"""How often nothing runs at the backend server beside, as a request that comes would find it."""
+"""Tracks the share of time for which the local backend server is idle."""
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass
 
-# How fast the share follows the load.
-FOLLOWING_SECONDS = 5.0
-# For how long runs that a predecessor of this process has begun may go on making calls, unless
-# the backend server says that it runs nothing.
-UNKNOWN_RUNS_SECONDS = 3.0
+# Time constant of the exponential average of the idle share.
+TIME_CONSTANT_SECONDS = 5.0
+# How long requests forwarded by the previous incarnation of this node may still make calls, unless
+# the backend server reports that it runs nothing.
+PREDECESSOR_RUN_SECONDS = 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class IdleObservation:
-    """What a request found beside the node that took it.
+    """Whether the backend server of a request's ingress node was idle when the request arrived.
 
     Attributes
     ----------
     share : float
-        Of the time in which nothing runs there; 0 where that is not known.
+        Recent share of time for which it was idle, from 0 to 1; 0 if not known.
     is_idle : bool
-        Whether nothing ran when it came: then no run there can have made it.
+        Whether it executed nothing at that moment, so that it cannot have sent the request.
     """
 
     share: float = 0.0
@@ -32,7 +32,7 @@
 
 
 class IdleTracker:
-    """Follows whether anything runs beside.
+    """Tracks whether the local backend server executes anything.
 
     Parameters
     ----------
@@ -41,33 +41,36 @@
     """
 
     def __init__(self, now: float) -> None:
-        self._known_from = now + UNKNOWN_RUNS_SECONDS
+        self._known_from = now + PREDECESSOR_RUN_SECONDS
         self._at = now
         self._is_idle = True
-        # Each moment counts the less the longer ago it is.
+        # Both are exponentially decayed sums.
         self._seconds = 0.0
         self._idle_seconds = 0.0
 
-    def turned(self, now: float, *, is_idle: bool) -> None:
-        """Take in that from now on something runs, or nothing does."""
-        self._follow(now)
+    def set_idle(self, now: float, *, is_idle: bool) -> None:
+        """Record that the backend server has just become idle or busy."""
+        self._advance(now)
         self._is_idle = is_idle
 
-    def emptied(self, now: float) -> None:
-        """Take in that the backend server runs nothing, so nothing of a predecessor either."""
+    def confirm_idle(self, now: float) -> None:
+        """Record the backend server's report that it runs nothing.
+
+        Requests forwarded by a previous incarnation of this node are then complete as well.
+        """
         self._known_from = min(self._known_from, now)
 
     def idle_observation(self, now: float) -> IdleObservation:
-        """Return what a request finds that comes now."""
-        self._follow(now)
+        """Return the observation for a request that arrives now."""
+        self._advance(now)
         if now < self._known_from:
             return UNKNOWN
         share = self._idle_seconds / self._seconds if self._seconds > 0 else 0.0
         return IdleObservation(share, self._is_idle)
 
-    def _follow(self, now: float) -> None:
-        kept = math.exp(-(now - self._at) / FOLLOWING_SECONDS)
-        passed = (1.0 - kept) * FOLLOWING_SECONDS
-        self._seconds = kept * self._seconds + passed
-        self._idle_seconds = kept * self._idle_seconds + (passed if self._is_idle else 0.0)
+    def _advance(self, now: float) -> None:
+        decay = math.exp(-(now - self._at) / TIME_CONSTANT_SECONDS)
+        added = (1.0 - decay) * TIME_CONSTANT_SECONDS
+        self._seconds = decay * self._seconds + added
+        self._idle_seconds = decay * self._idle_seconds + (added if self._is_idle else 0.0)
         self._at = now
--- a/src/hoisthook/retry/retry_budget.py
+++ b/src/hoisthook/retry/retry_budget.py
@@ -1,35 +1,36 @@
-"""A budget that keeps retries and hedges a small share of the calls."""
+"""A budget that limits retries and hedges to a small share of the calls."""
 
 from __future__ import annotations
 
+# Extra attempts.
 MAX_SAVED = 10.0
-START_SAVED = 1.0
+INITIAL_SAVED = 1.0
 
 
 class RetryBudget:
-    """Each call saves ``percent`` of a try; each extra try spends a whole one.
+    """Each call adds ``percent`` / 100 of an attempt; each extra attempt spends a whole one.
 
-    Over any run of ``n`` calls at most ``n * percent / 100 + MAX_SAVED`` extra
-    tries are made.
+    Over any series of ``n`` calls at most ``n * percent / 100 + MAX_SAVED`` extra
+    attempts are made.
 
     Parameters
     ----------
     percent : float
-        Extra tries per hundred calls.
+        Extra attempts per hundred calls.
     """
 
     def __init__(self, percent: float) -> None:
         self.percent = percent
-        self._saved = START_SAVED
+        self._saved = INITIAL_SAVED
         self.spent = 0
         self.denied = 0
 
     def call(self) -> None:
-        """Note a first try."""
+        """Record the first attempt of a call."""
         self._saved = min(MAX_SAVED, self._saved + self.percent / 100.0)
 
     def take(self) -> bool:
-        """Return whether an extra try may be made, and count it if so."""
+        """Spend an extra attempt; return whether the budget allowed it."""
         if self._saved < 1.0 or self.percent <= 0:
             self.denied += 1
             return False
@@ -38,6 +39,6 @@
         return True
 
     def give_back(self) -> None:
-        """Undo a `take` whose try was refused and so burdened no backend server."""
+        """Undo a `take` whose attempt was rejected and so loaded no backend server."""
         self._saved = min(MAX_SAVED, self._saved + 1.0)
         self.spent -= 1
--- a/src/hoisthook/routing/__init__.py
+++ b/src/hoisthook/routing/__init__.py
@@ -1,3 +1,3 @@
-"""The entry's choice of a backend server."""
+"""Choice of a backend server at the ingress node."""
 
 from __future__ import annotations
--- a/src/hoisthook/routing/admission_rate.py
+++ b/src/hoisthook/routing/admission_rate.py
@@ -1,4 +1,4 @@
-"""How often tries at a service have been admitted lately."""
+"""Recent share of the attempts at each service that were admitted."""
 
 from __future__ import annotations
 
@@ -9,51 +9,51 @@
 if TYPE_CHECKING:
     from hoisthook.identity import ServiceName
 
-# Within this an outcome loses all but a third of its weight.
-MEMORY_SECONDS = 1.0
-# Tries that are taken to have been admitted besides, so that little evidence ends nothing.
-ASSUMED_TRIES = 1.0
-# Below this a further try costs nodes and links more than it is likely to gain.
+# Time constant of the exponential decay of an outcome's weight.
+TIME_CONSTANT_SECONDS = 1.0
+# Admitted attempts that are added to the counts, so that a few rejections do not stop attempts.
+PRIOR_ADMITTED = 1.0
+# Below this share another attempt costs nodes and links more than it is likely to gain.
 MIN_SHARE = 0.2
 
 
 @dataclass(slots=True)
-class _Seen:
+class _OutcomeCounts:
     at: float
-    tries: float = 0.0
+    attempts: float = 0.0
     admitted: float = 0.0
 
-    def fade(self, now: float) -> None:
-        kept = math.exp(-(now - self.at) / MEMORY_SECONDS)
-        self.tries *= kept
-        self.admitted *= kept
+    def decay(self, now: float) -> None:
+        factor = math.exp(-(now - self.at) / TIME_CONSTANT_SECONDS)
+        self.attempts *= factor
+        self.admitted *= factor
         self.at = now
 
 
 class AdmissionRate:
-    """Tells whether a request that one node has refused is worth asking the next.
+    """Decides whether a request that one node has rejected should be sent to another one.
 
-    Load pattern: all backend servers of a service turn half of their work away, so that far more
-    requests come again than the budget of repeats has room for. Each of them asked up to ten
-    nodes for room that none had: 1 of 100 such tries was admitted, while they took a third of
-    what the links between data centres carried. What other requests have just met tells as much,
-    and the room is used up all the same, as long as each asks once.
+    Load pattern: all backend servers of a service reject half of their requests, so that far more
+    repeats are due than the repeat budget allows. When each of them tried up to ten nodes, 1 of
+    100 such attempts was admitted, while they took a third of the traffic between data centres.
+    The recent outcomes of other requests tell the same in advance. The free capacity is still
+    used up as long as each request makes one attempt.
     """
 
     def __init__(self) -> None:
-        self._seen_by_service: dict[ServiceName, _Seen] = {}
+        self._counts_by_service: dict[ServiceName, _OutcomeCounts] = {}
 
     def note(self, service: ServiceName, now: float, *, is_admitted: bool) -> None:
-        """Take in what became of a try."""
-        seen = self._seen_by_service.setdefault(service, _Seen(now))
-        seen.fade(now)
-        seen.tries += 1.0
-        seen.admitted += is_admitted
+        """Record the outcome of an attempt."""
+        counts = self._counts_by_service.setdefault(service, _OutcomeCounts(now))
+        counts.decay(now)
+        counts.attempts += 1.0
+        counts.admitted += is_admitted
 
     def is_worth_another(self, service: ServiceName, now: float) -> bool:
-        """Return whether a service is expected to admit enough of the tries that are made."""
-        seen = self._seen_by_service.get(service)
-        if seen is None:
+        """Return whether a service is likely enough to admit another attempt."""
+        counts = self._counts_by_service.get(service)
+        if counts is None:
             return True
-        seen.fade(now)
-        return seen.admitted + ASSUMED_TRIES >= MIN_SHARE * (seen.tries + ASSUMED_TRIES)
+        counts.decay(now)
+        return counts.admitted + PRIOR_ADMITTED >= MIN_SHARE * (counts.attempts + PRIOR_ADMITTED)
--- a/src/hoisthook/routing/candidate.py
+++ b/src/hoisthook/routing/candidate.py
@@ -1,4 +1,4 @@
-"""A backend server that an entry may choose."""
+"""A backend server that the ingress node may choose."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class Candidate:
-    """A member, its address parsed once, and the entry's view of its load."""
+    """A member, its parsed address, and the ingress node's view of its load."""
 
     member: Member
     address: Address
--- a/src/hoisthook/routing/link_pacer.py
+++ b/src/hoisthook/routing/link_pacer.py
@@ -1,30 +1,30 @@
-"""When the pieces of large answers go out over the instance's link."""
+"""Paces large answers on the network link of the instance."""
 
 from __future__ import annotations
 
-# Of the link this share is for large answers, so that what is sent beside them finds it free.
+# Share of the link for large answers; the rest stays free for short messages.
 PACED_SHARE = 0.8
-# Answers up to this size go out at once; larger ones in pieces as large as half of it.
-AT_ONCE_BYTES = 16 * 1024
+# Answers up to this size are sent at once, larger ones in pieces.
+MAX_UNPACED_BYTES = 16 * 1024
 PIECE_BYTES = 8 * 1024
-# Shorter waits are left out: a timer costs as much.
+# Shorter waits are skipped: the timer itself costs as much.
 MIN_WAIT_SECONDS = 0.001
 BITS_PER_BYTE = 8
 BITS_PER_MEGABIT = 1_000_000
 
 
 class LinkPacer:
-    """Spreads large answers over time, so that short ones do not wait behind them.
+    """Spreads large answers over time, so that short ones do not queue behind them.
 
-    Load pattern: several answers of up to half a megabyte leave over a link of 12 Mbit/s at once.
-    Handed to the system whole, they keep the link for hundreds of milliseconds, and the word that
-    a request is admitted, which is waited for a tenth of a second, arrives after the node that
-    sent it has been given up: requests that run are answered as lost.
+    Load pattern: several answers of up to half a megabyte are sent over a link of 12 Mbit/s at
+    once. Passed to the operating system in one piece each, they occupy the link for hundreds of
+    milliseconds. The notice that a request is admitted then arrives after the ingress node, which
+    waits a tenth of a second for it, has given up, and running requests are answered as lost.
 
     Parameters
     ----------
     mbps : float
-        What the link carries, in megabits a second; 0 where that is not known: nothing is spread.
+        Capacity of the link in megabits per second; 0 if unknown, which turns pacing off.
     """
 
     def __init__(self, mbps: float) -> None:
@@ -33,21 +33,21 @@
 
     @property
     def piece_bytes(self) -> int:
-        """Return the size of a piece."""
+        """Return the size of a piece in bytes."""
         return PIECE_BYTES
 
-    def spreads(self, size: int) -> bool:
-        """Return whether an answer of some size goes out in pieces."""
-        return self._bytes_per_second > 0 and size > AT_ONCE_BYTES
+    def needs_pacing(self, size: int) -> bool:
+        """Return whether an answer of ``size`` bytes is sent in pieces."""
+        return self._bytes_per_second > 0 and size > MAX_UNPACED_BYTES
 
     def sent(self, size: int, now: float) -> None:
-        """Note an answer that went out at once; the pieces of others make room for it."""
+        """Record ``size`` bytes that were sent unpaced; they delay later pieces."""
         self.wait(size, now)
 
     def wait(self, size: int, now: float) -> float:
-        """Take the next place for a piece; return the seconds until it may go out.
+        """Reserve the link for a piece of ``size`` bytes; return the seconds until it may be sent.
 
-        Answers that go out together take turns piece by piece.
+        Answers that are sent at the same time alternate piece by piece.
         """
         if self._bytes_per_second <= 0:
             return 0.0
--- a/src/hoisthook/routing/policy.py
+++ b/src/hoisthook/routing/policy.py
@@ -1,4 +1,4 @@
-"""Ways of choosing a backend server; all but the first are baselines."""
+"""Policies for choosing a backend server; all but `ExpectedTime` are baselines."""
 
 from __future__ import annotations
 
@@ -12,11 +12,12 @@
     from hoisthook.port.clock import Randomness
     from hoisthook.routing.candidate import Candidate
 
+# Ratio to the least expected time up to which candidates count as equal.
 TOLERANCE = 1.25
 
 
 class PolicyName(Enum):
-    """Names in the settings."""
+    """Names of the policies in the settings."""
 
     HOISTHOOK = "hoisthook"
     RANDOM = "random"
@@ -26,14 +27,14 @@
 
 
 class Policy(Protocol):
-    """Chooses among candidates."""
+    """Chooses one of several candidates."""
 
     def choose(self, candidates: Sequence[Candidate], now: float) -> Candidate:
-        """Return one of the candidates, of which there is at least one."""
+        """Return one of the candidates; there must be at least one."""
 
 
 class ExpectedTime:
-    """The least expected time, drawn evenly among those within a tolerance of it."""
+    """Least expected time, chosen at random among candidates within `TOLERANCE` of it."""
 
     def __init__(self, randomness: Randomness) -> None:
         self._randomness = randomness
@@ -42,14 +43,14 @@
         """Return one of the candidates."""
         scores = [candidate.view.score(now) for candidate in candidates]
         bound = min(scores) * TOLERANCE
-        near = [c for c, score in zip(candidates, scores, strict=True) if score <= bound]
-        if len(near) == 1:
-            return near[0]
-        return near[self._randomness.randrange(len(near))]
+        nearly_best = [c for c, score in zip(candidates, scores, strict=True) if score <= bound]
+        if len(nearly_best) == 1:
+            return nearly_best[0]
+        return nearly_best[self._randomness.randrange(len(nearly_best))]
 
 
 class RandomChoice:
-    """Each as likely."""
+    """Uniform random choice."""
 
     def __init__(self, randomness: Randomness) -> None:
         self._randomness = randomness
@@ -60,7 +61,7 @@
 
 
 class RoundRobin:
-    """Each in turn."""
+    """Each candidate in turn."""
 
     def __init__(self) -> None:
         self._turn = 0
@@ -72,7 +73,7 @@
 
 
 class LeastInFlight:
-    """The one with the fewest of this entry's own requests."""
+    """The candidate with the fewest of this node's own requests in flight."""
 
     def __init__(self, randomness: Randomness) -> None:
         self._randomness = randomness
@@ -80,12 +81,12 @@
     def choose(self, candidates: Sequence[Candidate], now: float) -> Candidate:
         """Return one of the candidates."""
         least = min(candidate.view.in_flight for candidate in candidates)
-        near = [candidate for candidate in candidates if candidate.view.in_flight == least]
-        return near[self._randomness.randrange(len(near))]
+        least_loaded = [c for c in candidates if c.view.in_flight == least]
+        return least_loaded[self._randomness.randrange(len(least_loaded))]
 
 
 class TwoChoices:
-    """The less loaded, by its last report however old, of two drawn at random."""
+    """The less loaded of two random candidates by their last reports, regardless of age."""
 
     def __init__(self, randomness: Randomness) -> None:
         self._randomness = randomness
@@ -98,7 +99,7 @@
 
 
 def make_policy(name: PolicyName, randomness: Randomness) -> Policy:
-    """Return the policy of that name."""
+    """Return a new policy by its name."""
     match name:
         case PolicyName.HOISTHOOK:
             return ExpectedTime(randomness)
--- a/src/hoisthook/routing/router.py
+++ b/src/hoisthook/routing/router.py
@@ -1,4 +1,4 @@
-"""Candidates of each service and the choice among them."""
+"""Chooses a backend server of a service by the routing policy."""
 
 from __future__ import annotations
 
@@ -15,20 +15,21 @@
     from hoisthook.membership.member_table import MemberTable
     from hoisthook.routing.policy import Policy
 
-LOCAL_SECONDS = 0.0001
-SAME_DATA_CENTRE_SECONDS = 0.0006
-OTHER_DATA_CENTRE_SECONDS = 0.002
+# Initial estimates of the network round-trip time.
+LOCAL_NETWORK_SECONDS = 0.0001
+SAME_DATA_CENTRE_NETWORK_SECONDS = 0.0006
+OTHER_DATA_CENTRE_NETWORK_SECONDS = 0.002
 
 
 class Router:
-    """Chooses a backend server for each try.
+    """Chooses a backend server for each attempt.
 
     Parameters
     ----------
     table : MemberTable
-        Who is there.
+        The known members.
     policy : Policy
-        How to choose.
+        Chooses among the candidates.
     """
 
     def __init__(self, table: MemberTable, policy: Policy) -> None:
@@ -37,37 +38,37 @@
         self._by_node: dict[str, Candidate] = {}
 
     def choose(self, service: str, tried: Collection[str], now: float) -> Candidate | None:
-        """Return a backend server not tried yet, or None.
+        """Return a backend server that has not been tried yet, or None.
 
-        One that closed itself for a while is chosen only if no open one is left.
+        One that is closed for now is chosen only if no open one is left.
 
         Parameters
         ----------
         service : str
             The service's name.
         tried : collection of str
-            Nodes to leave out.
+            Nodes to exclude.
         now : float
-            Seconds on the views' clock.
+            Seconds on the clock of the load views.
         """
-        open_ones: list[Candidate] = []
-        closed: list[Candidate] = []
+        open_candidates: list[Candidate] = []
+        closed_candidates: list[Candidate] = []
         for node, member in self._table.serving(service).items():
             if node in tried:
                 continue
             candidate = self._candidate(member)
             if candidate.view.closed_until > now:
-                closed.append(candidate)
+                closed_candidates.append(candidate)
             else:
-                open_ones.append(candidate)
-        if open_ones:
-            return self._policy.choose(open_ones, now)
-        if closed:
-            return min(closed, key=lambda candidate: candidate.view.closed_until)
+                open_candidates.append(candidate)
+        if open_candidates:
+            return self._policy.choose(open_candidates, now)
+        if closed_candidates:
+            return min(closed_candidates, key=lambda candidate: candidate.view.closed_until)
         return None
 
     def least_waiting(self, service: str, now: float) -> Candidate | None:
-        """Return the open backend server with the shortest queue by the last reports."""
+        """Return the open backend server with the shortest queue by the last reports, or None."""
         members = self._table.serving(service).values()
         known = [self._candidate(member) for member in members]
         candidates = [candidate for candidate in known if candidate.view.closed_until <= now]
@@ -75,8 +76,8 @@
             return None
         return min(candidates, key=lambda c: (c.view.waiting, c.view.reported_load))
 
-    def forget_gone(self) -> None:
-        """Drop views of nodes that the table does not know any more."""
+    def drop_removed(self) -> None:
+        """Drop candidates whose nodes are no longer in the member table."""
         for node in [node for node in self._by_node if self._table.get(node) is None]:
             del self._by_node[node]
 
@@ -97,7 +98,7 @@
 
     def _new_view(self, member: Member, local: bool) -> LoadView:
         if local:
-            return LoadView(member.slots, LOCAL_SECONDS)
+            return LoadView(member.slots, LOCAL_NETWORK_SECONDS)
         if member.data_centre == self._table.me.data_centre:
-            return LoadView(member.slots, SAME_DATA_CENTRE_SECONDS)
-        return LoadView(member.slots, OTHER_DATA_CENTRE_SECONDS)
+            return LoadView(member.slots, SAME_DATA_CENTRE_NETWORK_SECONDS)
+        return LoadView(member.slots, OTHER_DATA_CENTRE_NETWORK_SECONDS)
--- a/src/hoisthook/teams/__init__.py
+++ b/src/hoisthook/teams/__init__.py
@@ -1,3 +1,3 @@
-"""Teams that share the system: who asks, how much is theirs, and who is next."""
+"""Teams that share the system: their keys, quotas and ranks."""
 
 from __future__ import annotations
--- a/src/hoisthook/teams/key_lease.py
+++ b/src/hoisthook/teams/key_lease.py
@@ -1,28 +1,30 @@
-"""For how long a node may take keys after it last knew that none had been taken away."""
+"""Lease for which a node may accept teams' keys after its configuration was last confirmed."""
 
 from __future__ import annotations
 
 import math
 
-# A request that is admitted begins to run within this.
+# Seconds within which an admitted request starts to be executed.
 MARGIN_SECONDS = 0.4
-# Of the lease a reader waits so long for a change at most, and one that asks it for its answer:
-# those that ask it, and those that ask them, hear of it while theirs still hold.
-WAITED_SHARE = 0.2
-HELD_SHARE = 0.08
+# Shares of the lease for which, at most, a reader waits for a change of the store and holds a poll
+# of another node open. A change then reaches the nodes that poll the reader, and those that poll
+# them, before their leases end.
+WAIT_SHARE = 0.2
+HOLD_SHARE = 0.08
 
 
 class KeyLease:
-    """Ends where neither the store nor a peer has confirmed the configuration for too long.
+    """Ends if neither the store nor a peer has confirmed the configuration for too long.
 
-    Load pattern: a node is cut off, or the store is, while a key is taken away. It cannot hear of
-    it, so it stops taking keys in time, by a clock that goes on while the instance is suspended.
+    Load pattern: a key is revoked while a node or the store is partitioned. The node cannot learn
+    of it, so it stops accepting keys in time. The clock must advance while the instance is
+    suspended.
 
     Parameters
     ----------
     seconds : float
-        After the acknowledgement of a change no key that it took away is taken; 0 where nodes
-        that cannot know go on serving.
+        Time after the acknowledgement of a revocation from which the key is accepted nowhere; 0 if
+        nodes continue to accept keys without confirmation.
     """
 
     def __init__(self, seconds: float) -> None:
@@ -30,28 +32,28 @@
         self._as_of = -math.inf
 
     @property
-    def is_bound(self) -> bool:
-        """Return whether there is a lease at all."""
+    def is_limited(self) -> bool:
+        """Return whether acceptance of keys is limited by a lease."""
         return self._seconds > 0
 
     @property
     def longest_wait(self) -> float:
-        """Return for how many seconds a reader may wait for a change."""
-        return WAITED_SHARE * self._seconds if self.is_bound else math.inf
+        """Return for how many seconds a reader may wait for a change in the store."""
+        return WAIT_SHARE * self._seconds if self.is_limited else math.inf
 
     @property
     def longest_hold(self) -> float:
-        """Return for how many seconds a question to a reader may be held."""
-        return HELD_SHARE * self._seconds if self.is_bound else math.inf
+        """Return for how many seconds a reader may hold a peer's poll open."""
+        return HOLD_SHARE * self._seconds if self.is_limited else math.inf
 
     def confirmed(self, as_of: float) -> None:
-        """Note that the configuration in force here was the newest at some moment."""
+        """Record that this node's configuration was the newest at the time ``as_of``."""
         self._as_of = max(self._as_of, as_of)
 
     def age(self, now: float) -> float | None:
-        """Return the seconds since that moment; None where it does not matter or never was."""
-        return now - self._as_of if self.is_bound and self._as_of > -math.inf else None
+        """Return the seconds since the last confirmation; None without a limit or confirmation."""
+        return now - self._as_of if self.is_limited and self._as_of > -math.inf else None
 
     def holds(self, now: float) -> bool:
-        """Return whether keys may be taken."""
-        return not self.is_bound or now < self._as_of + self._seconds - MARGIN_SECONDS
+        """Return whether keys may be accepted."""
+        return not self.is_limited or now < self._as_of + self._seconds - MARGIN_SECONDS
--- a/src/hoisthook/teams/quota_bounds.py
+++ b/src/hoisthook/teams/quota_bounds.py
@@ -1,4 +1,4 @@
-"""How much of a quota's bound is used, and what for."""
+"""Converts a quota and its bound into the capacity, rate and depth of token buckets."""
 
 from __future__ import annotations
 
@@ -8,14 +8,15 @@
 if TYPE_CHECKING:
     from hoisthook.teams.team import Quota
 
-# Of the share and of the number by which the bound exceeds a quota, so much is given out, so that
-# what lies within the quota is not refused for tokens that stand in other data centres. The rest
-# is for the moments in which a node does not know what another has given out before it.
-USED_SHARE = 0.4
-# For how long a token may be kept by the node that was given it. It is counted in the windows up
-# to then, so a longer time leaves less for others.
+# Share of the excess of the bound over the quota that is granted as tokens, so that requests within
+# the quota are not rejected while tokens are held in other data centres. The rest covers the times
+# at which a node does not know what another node has granted before it.
+EXCESS_SHARE = 0.4
+# Lease of a token at the node that received it. A token counts in all windows until then, so a
+# longer lease leaves fewer tokens for others.
 LEASE_SECONDS = 0.1
-# A data centre with less than this cannot save up whole tokens, so one has all of the quota.
+# Smallest depth with which a data centre can save up whole tokens; below it, one data centre owns
+# the complete quota.
 MIN_DEPTH = 2.0
 
 
@@ -23,16 +24,16 @@
 class QuotaBounds:
     """The bound on what all nodes together may admit for a team.
 
-    In any window that is ``(per_second * window + burst) * (1 + over_share) + extra``.
+    In any window it is ``(per_second * window + burst) * (1 + over_share) + extra`` requests.
 
     Attributes
     ----------
     window : float
-        Seconds.
+        Length of the window in seconds.
     over_share : float
-        By how much of the quota the bound exceeds it.
+        Share of the quota by which the bound exceeds it.
     extra : float
-        Requests besides.
+        Further requests per window by which the bound exceeds the quota.
     """
 
     window: float
@@ -41,34 +42,36 @@
 
     @property
     def lease_seconds(self) -> float:
-        """Return for how long a token may be kept by the node that was given it."""
+        """Return the lease of a token in seconds; 0 if the bound leaves no excess for one."""
         return LEASE_SECONDS if self.over_share > 0 or self.extra > 0 else 0.0
 
     def allowed(self, quota: Quota) -> float:
-        """Return how many requests may run in a window at most."""
-        return self._within(quota) * (1.0 + self.over_share) + self.extra
+        """Return how many requests may be executed in a window at most."""
+        return self._window_quota(quota) * (1.0 + self.over_share) + self.extra
 
     def capacity(self, quota: Quota) -> float:
-        """Return how many tokens all data centres together give out in a window."""
-        within = self._within(quota)
-        return max(1.0, within * (1.0 + USED_SHARE * self.over_share) + USED_SHARE * self.extra)
+        """Return how many tokens all data centres together grant in a window."""
+        window_quota = self._window_quota(quota)
+        return max(
+            1.0, window_quota * (1.0 + EXCESS_SHARE * self.over_share) + EXCESS_SHARE * self.extra
+        )
 
     def rate(self, quota: Quota) -> float:
-        """Return the tokens a second of all data centres together."""
+        """Return the tokens per second of all data centres together."""
         return self.capacity(quota) / self.window
 
     def depth(self, quota: Quota) -> float:
         """Return how many tokens all data centres together may save up."""
-        return max(1.0, quota.burst + USED_SHARE * self.extra)
+        return max(1.0, quota.burst + EXCESS_SHARE * self.extra)
 
     def start(self, quota: Quota) -> float:
-        """Return the level of a node that does not know what was given out just before it.
+        """Return the initial level of a node that does not know what was granted before it.
 
-        Whoever was there before may have given out all that it had saved up, and went on at the
-        full rate until then. Below 0 where the bound leaves less than that.
+        The previous owner may have granted all its saved tokens and continued at the full rate
+        until now. The level is below 0 if the bound leaves less than that.
         """
-        late = self.rate(quota) * self.lease_seconds
-        return self.allowed(quota) - self.capacity(quota) - self.depth(quota) - late
+        lease_tokens = self.rate(quota) * self.lease_seconds
+        return self.allowed(quota) - self.capacity(quota) - self.depth(quota) - lease_tokens
 
-    def _within(self, quota: Quota) -> float:
+    def _window_quota(self, quota: Quota) -> float:
         return quota.per_second * self.window + quota.burst
--- a/src/hoisthook/teams/quota_coordinator.py
+++ b/src/hoisthook/teams/quota_coordinator.py
@@ -1,4 +1,4 @@
-"""Admits a team's requests within its quota, with the nodes that give it out."""
+"""Admits a team's requests within its quota by tokens from the nodes that own the quota."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from hoisthook.teams.held_tokens import HeldTokens
 from hoisthook.teams.quota_ledger import QuotaLedger
 from hoisthook.teams.quota_ledger import Share
-from hoisthook.teams.quota_messages import QuotaAnswer
-from hoisthook.teams.quota_messages import QuotaQuestion
+from hoisthook.teams.quota_messages import QuotaReply
+from hoisthook.teams.quota_messages import QuotaRequest
 from hoisthook.teams.quota_owners import QuotaOwners
 from hoisthook.teams.quota_verdict import OverQuota
 from hoisthook.teams.quota_verdict import Token
@@ -29,51 +29,52 @@
     from hoisthook.teams.quota_bounds import QuotaBounds
     from hoisthook.teams.quota_owners import QuotaPeer
 
-# Nobody lends while all are short, so the next to ask waits; who asks at once gets the same answer.
-DRY_SECONDS = 0.1
-# Data centres asked for tokens one after the other, however many there are.
+# Pause after an attempt to borrow failed: while all data centres are short, the next attempt would
+# fail as well.
+NO_LENDER_SECONDS = 0.1
+# Data centres queried for a loan, one after the other.
 MAX_LENDERS = 3
-# Requests that are short together share what is borrowed; one that got nothing of it tries again.
-MAX_BORROWINGS = 3
-# What is borrowed at once: so many seconds' worth of the quota, and no less than a whole token.
-BORROWED_SECONDS = 0.1
-# A node that has not heard from any other of its data centre for so long may be cut off from the
-# one that gives out the same quota there, so it gives out nothing.
-ALONE_SECONDS = 1.5
-UNKNOWN_RETRY_SECONDS = 0.3
-# Tokens of requests refused in the same moment go back together.
-GIVING_BACK_SECONDS = 0.02
-# A team over its quota gets a line so often at most.
-TOLD_SECONDS = 1.0
+# Concurrent requests share a loan; a request that got none of its tokens tries again.
+MAX_BORROW_ATTEMPTS = 3
+# Size of a loan: the tokens of the quota for this time, and at least one.
+BORROW_SECONDS = 0.1
+# A node without contact to any other node of its data centre for this time may be partitioned from
+# one that grants the same quota there, so it grants nothing.
+ISOLATED_SECONDS = 1.5
+OWNER_UNKNOWN_RETRY_SECONDS = 0.3
+# Delay within which unused tokens are collected and returned in one message.
+RETURN_DELAY_SECONDS = 0.02
+# Minimum time between two events of a team that is over its quota.
+LOG_INTERVAL_SECONDS = 1.0
 
 
 class QuotaTransport(Protocol):
-    """Asks other nodes."""
+    """Sends quota requests to other nodes."""
 
-    async def ask(self, quota_peer: QuotaPeer, question: QuotaQuestion) -> QuotaAnswer | None:
-        """Return a node's answer, or None if it gave none."""
+    async def query_peer(self, quota_peer: QuotaPeer, request: QuotaRequest) -> QuotaReply | None:
+        """Return a node's reply, or None if it sent none."""
 
 
 class QuotaCoordinator:
-    """Gets a token for each request of a team, and gives out those of the teams it owns.
+    """Obtains a token for each request of a team, and grants the tokens of the quotas it owns.
 
-    Each data centre has a part of a team's quota, which one of its nodes gives out. Parts move by
-    lending alone: who lends takes the tokens out before the other puts them in, so a cut between
-    data centres leaves each side what it has, and an answer that is lost loses tokens rather than
-    doubling them.
+    Each data centre has a part of a team's quota, and one of its nodes, the owner, grants the
+    tokens of this part. Tokens move between data centres only as loans: the lender deducts them
+    before the borrower adds them. A partition between data centres thus leaves each side its
+    tokens, and a lost reply loses tokens rather than duplicating them.
 
     Parameters
     ----------
     bounds : QuotaBounds
-        What may be admitted.
+        The bound on the admitted requests.
     data_centre : DataCentre
-        Where this node stands.
+        The data centre of this node.
     transport : QuotaTransport
-        Asks others.
+        Sends requests to other nodes.
     clock : Clock
         Monotonic.
     log : EventLog
-        Gets a line for a team over its quota.
+        Receives an event for a team over its quota.
     """
 
     def __init__(
@@ -94,156 +95,156 @@
         self._owners = QuotaOwners(())
         self._unreachable_nodes = UnreachableNodes()
         self._tasks = BackgroundTasks()
-        self._giving_back: set[TeamName] = set()
-        # By team and rank: others may lend for the urgent what they keep from the rest.
+        self._returning: set[TeamName] = set()
+        # By team and rank: lenders may have tokens that they reserve for urgent requests.
         self._borrowing: dict[tuple[TeamName, int], asyncio.Task[None]] = {}
-        self._dry_until: dict[tuple[TeamName, int], float] = {}
-        self._stood_in_at: dict[TeamName, float] = {}
-        self._told_at: dict[TeamName, float] = {}
-        self._heard_at = clock.now()
+        self._no_lender_until: dict[tuple[TeamName, int], float] = {}
+        self._served_as_fallback_at: dict[TeamName, float] = {}
+        self._logged_at: dict[TeamName, float] = {}
+        self._last_contact_at = clock.now()
 
-    def knows(self, owners: QuotaOwners) -> None:
-        """Take in which nodes there are."""
+    def set_owners(self, owners: QuotaOwners) -> None:
+        """Set the owners of the quotas after a change of the known nodes."""
         self._owners = owners
 
-    def heard(self) -> None:
-        """Note that another node of this data centre was heard from."""
+    def peer_contacted(self) -> None:
+        """Record a message from another node of this data centre."""
         now = self._clock.now()
-        if now - self._heard_at > ALONE_SECONDS:
-            # Cut off, or paused: others have given out this node's tokens meanwhile.
-            self._ledger.distrust(now)
-        self._heard_at = now
+        if now - self._last_contact_at > ISOLATED_SECONDS:
+            # After a partition or suspension other nodes may have granted this node's tokens.
+            self._ledger.reset(now)
+        self._last_contact_at = now
 
     def close(self) -> None:
-        """Stop what is under way."""
+        """Cancel all background tasks."""
         self._tasks.close()
         for task in self._borrowing.values():
             task.cancel()
 
     async def admit(self, team: TeamName, quota: Quota, rank: int = 0) -> Token | OverQuota:
-        """Return what admits a request, or why it is not admitted."""
+        """Return the token for a request, or why it is rejected."""
         now = self._clock.now()
-        wanted = self._held.wanted(team, now)
+        wanted = self._held.tokens_to_request(team, now)
         token = self._held.take(team, now)
         if token is not None:
             return token
         unused = self._held.take_unused(team, now)
-        answer = await self._ask_first(QuotaQuestion(team, quota, wanted, unused, rank=rank))
-        if answer is None:
-            return OverQuota(ResultCode.TEAM_QUOTA_UNKNOWN, UNKNOWN_RETRY_SECONDS)
-        if answer.tokens < 1:
-            return OverQuota(ResultCode.TEAM_OVER_QUOTA, answer.retry_after)
-        token = Token(now, rank, answer.is_lent)
-        self._held.add(team, int(answer.tokens) - 1, token)
+        reply = await self._query_owners(QuotaRequest(team, quota, wanted, unused, rank=rank))
+        if reply is None:
+            return OverQuota(ResultCode.TEAM_QUOTA_UNKNOWN, OWNER_UNKNOWN_RETRY_SECONDS)
+        if reply.tokens < 1:
+            return OverQuota(ResultCode.TEAM_OVER_QUOTA, reply.retry_after)
+        token = Token(now, rank, reply.is_lent)
+        self._held.add(team, int(reply.tokens) - 1, token)
         return token
 
     def not_run(self, team: TeamName, quota: Quota, token: Token) -> None:
-        """Give back the token of a request that was admitted and has not run."""
-        self._held.unused(team, token)
-        if team not in self._giving_back:
-            self._giving_back.add(team)
-            self._tasks.start(self._give_back(team, quota))
-
-    async def _give_back(self, team: TeamName, quota: Quota) -> None:
-        await asyncio.sleep(GIVING_BACK_SECONDS)
-        self._giving_back.discard(team)
+        """Return the token of an admitted request that was not executed."""
+        self._held.add_unused(team, token)
+        if team not in self._returning:
+            self._returning.add(team)
+            self._tasks.start(self._return_unused(team, quota))
+
+    async def _return_unused(self, team: TeamName, quota: Quota) -> None:
+        await asyncio.sleep(RETURN_DELAY_SECONDS)
+        self._returning.discard(team)
         unused = self._held.take_unused(team, self._clock.now())
         if unused:
-            await self._ask_first(QuotaQuestion(team, quota, 0.0, unused))
-
-    async def answer(self, question: QuotaQuestion) -> QuotaAnswer:
-        """Answer another node."""
-        if question.wanted <= 0 and not question.unused:
-            return QuotaAnswer(0.0)
-        if question.is_lending:
-            if not self._is_giving_out(question.team):
-                return QuotaAnswer(0.0)
-            share = self._share(question)
+            await self._query_owners(QuotaRequest(team, quota, 0.0, unused))
+
+    async def answer(self, request: QuotaRequest) -> QuotaReply:
+        """Return the reply to a request of another node."""
+        if request.wanted <= 0 and not request.unused:
+            return QuotaReply(0.0)
+        if request.is_lending:
+            if not self._is_granting(request.team):
+                return QuotaReply(0.0)
+            share = self._share(request)
             tokens = self._ledger.lend(
-                question.team, share, question.wanted, self._clock.now(), rank=question.rank
+                request.team, share, request.wanted, self._clock.now(), rank=request.rank
             )
-            return QuotaAnswer(tokens)
-        return await self._give_out(question)
+            return QuotaReply(tokens)
+        return await self._grant(request)
 
-    async def _ask_first(self, question: QuotaQuestion) -> QuotaAnswer | None:
-        """Ask who gives out the quota here, and who stands in for it."""
-        for quota_peer in self._reachable(question.team, self._data_centre):
+    async def _query_owners(self, request: QuotaRequest) -> QuotaReply | None:
+        """Query the owner of the quota in this data centre, then its fallbacks."""
+        for quota_peer in self._reachable(request.team, self._data_centre):
             if quota_peer.is_self:
-                answer: QuotaAnswer | None = await self._give_out(question)
+                reply: QuotaReply | None = await self._grant(request)
             else:
-                answer = await self._ask(quota_peer, question)
-            if answer is not None and answer.knows:
-                return answer
+                reply = await self._query(quota_peer, request)
+            if reply is not None and reply.is_authoritative:
+                return reply
         return None
 
-    async def _give_out(self, question: QuotaQuestion) -> QuotaAnswer:
-        """Give out tokens here, unless a node is there that goes before this one."""
-        if self._is_alone():
-            return QuotaAnswer(0.0, knows=False)
-        for quota_peer in self._before_me(question.team):
-            answer = await self._ask(quota_peer, question)
-            if answer is not None and answer.knows:
-                return answer
-        team = question.team
-        share = self._share(question)
+    async def _grant(self, request: QuotaRequest) -> QuotaReply:
+        """Grant tokens here, unless an owner with a higher rank is reachable."""
+        if self._is_isolated():
+            return QuotaReply(0.0, is_authoritative=False)
+        for quota_peer in self._earlier_owners(request.team):
+            reply = await self._query(quota_peer, request)
+            if reply is not None and reply.is_authoritative:
+                return reply
+        team = request.team
+        share = self._share(request)
         now = self._clock.now()
         if not self._is_first(team):
-            self._begin_standing_in(team, share, now)
-        if question.unused:
-            self._ledger.put_back(team, share, question.unused, now)
-        if question.wanted <= 0:
-            return QuotaAnswer(0.0)
-        self._ledger.asked(team, share, now, rank=question.rank)
-        given = self._ledger.take(team, share, question.wanted, now, rank=question.rank)
-        for _ in range(MAX_BORROWINGS):
-            if given.count or not await self._borrow(question, share):
+            self._begin_as_fallback(team, share, now)
+        if request.unused:
+            self._ledger.put_back(team, share, request.unused, now)
+        if request.wanted <= 0:
+            return QuotaReply(0.0)
+        self._ledger.record_request(team, share, now, rank=request.rank)
+        grant = self._ledger.grant(team, share, request.wanted, now, rank=request.rank)
+        for _ in range(MAX_BORROW_ATTEMPTS):
+            if grant.count or not await self._borrow(request, share):
                 break
             now = self._clock.now()
-            given = self._ledger.take(team, share, question.wanted, now, rank=question.rank)
-        if given.count:
-            return QuotaAnswer(float(given.count), is_lent=given.is_lent)
-        self._tell(team, question.quota)
-        return QuotaAnswer(0.0, self._ledger.retry_after(team, share, self._clock.now()))
+            grant = self._ledger.grant(team, share, request.wanted, now, rank=request.rank)
+        if grant.count:
+            return QuotaReply(float(grant.count), is_lent=grant.is_lent)
+        self._log_over_quota(team, request.quota)
+        return QuotaReply(0.0, self._ledger.retry_after(team, share, self._clock.now()))
 
-    async def _borrow(self, question: QuotaQuestion, share: Share) -> bool:
-        """Get tokens from who holds more; return whether any were asked for.
+    async def _borrow(self, request: QuotaRequest, share: Share) -> bool:
+        """Borrow tokens from other data centres; return False if no loan was requested.
 
-        Those that are short together wait for one and the same answer.
+        Concurrent requests wait for the same loan.
         """
-        key = (question.team, question.rank)
-        if self._dry_until.get(key, -math.inf) > self._clock.now():
+        key = (request.team, request.rank)
+        if self._no_lender_until.get(key, -math.inf) > self._clock.now():
             return False
         task = self._borrowing.get(key)
         if task is None:
-            task = asyncio.get_running_loop().create_task(self._borrow_from_others(question, share))
+            task = asyncio.get_running_loop().create_task(self._borrow_from_others(request, share))
             self._borrowing[key] = task
             task.add_done_callback(lambda _: self._borrowing.pop(key, None))
         await asyncio.shield(task)
         return True
 
-    async def _borrow_from_others(self, question: QuotaQuestion, share: Share) -> None:
-        missing = max(1.0, BORROWED_SECONDS * self._bounds.rate(question.quota))
-        asked = QuotaQuestion(
-            question.team, question.quota, missing, is_lending=True, rank=question.rank
+    async def _borrow_from_others(self, request: QuotaRequest, share: Share) -> None:
+        loan_size = max(1.0, BORROW_SECONDS * self._bounds.rate(request.quota))
+        loan_request = QuotaRequest(
+            request.team, request.quota, loan_size, is_lending=True, rank=request.rank
         )
-        got = 0.0
-        for quota_peer in self._lenders(question.team):
-            answer = await self._ask(quota_peer, asked)
-            if answer is None or answer.tokens <= 0:
+        borrowed = 0.0
+        for quota_peer in self._lenders(request.team):
+            reply = await self._query(quota_peer, loan_request)
+            if reply is None or reply.tokens <= 0:
                 continue
-            self._ledger.borrowed(question.team, share, answer.tokens, self._clock.now())
-            got += answer.tokens
-            if got >= 1:
+            self._ledger.borrowed(request.team, share, reply.tokens, self._clock.now())
+            borrowed += reply.tokens
+            if borrowed >= 1:
                 return
-        self._dry_until[question.team, question.rank] = self._clock.now() + DRY_SECONDS
+        self._no_lender_until[request.team, request.rank] = self._clock.now() + NO_LENDER_SECONDS
 
-    def _before_me(self, team: TeamName) -> list[QuotaPeer]:
-        """Return who can be reached and goes before this node in its data centre."""
+    def _earlier_owners(self, team: TeamName) -> list[QuotaPeer]:
+        """Return the reachable owners with a higher rank than this node in its data centre."""
         reachable = self._reachable(team, self._data_centre)
         return list(itertools.takewhile(lambda quota_peer: not quota_peer.is_self, reachable))
 
     def _lenders(self, team: TeamName) -> list[QuotaPeer]:
-        """Return whom to ask for tokens in other data centres."""
+        """Return the nodes in other data centres to query for a loan."""
         quota_peers: list[QuotaPeer] = []
         for data_centre in self._owners.others(team, self._data_centre)[:MAX_LENDERS]:
             quota_peers.extend(self._reachable(team, data_centre)[:1])
@@ -261,46 +262,46 @@
         ]
 
     async def _probe(self, quota_peer: QuotaPeer, team: TeamName) -> None:
-        await self._ask(quota_peer, QuotaQuestion(team, Quota(0.0, 0.0), 0.0))
+        await self._query(quota_peer, QuotaRequest(team, Quota(0.0, 0.0), 0.0))
 
-    async def _ask(self, quota_peer: QuotaPeer, question: QuotaQuestion) -> QuotaAnswer | None:
-        answer = await self._transport.ask(quota_peer, question)
+    async def _query(self, quota_peer: QuotaPeer, request: QuotaRequest) -> QuotaReply | None:
+        reply = await self._transport.query_peer(quota_peer, request)
         node = quota_peer.peer.node
-        if answer is None:
-            self._unreachable_nodes.silent(node, self._clock.now())
+        if reply is None:
+            self._unreachable_nodes.mark_unreachable(node, self._clock.now())
             return None
-        self._unreachable_nodes.answered(node)
+        self._unreachable_nodes.mark_reachable(node)
         if quota_peer.peer.data_centre == self._data_centre:
-            self.heard()
-        return answer
+            self.peer_contacted()
+        return reply
 
-    def _is_giving_out(self, team: TeamName) -> bool:
-        """Return whether this node gives out the quota now, and so knows what is left of it."""
-        if self._is_alone():
+    def _is_granting(self, team: TeamName) -> bool:
+        """Return whether this node currently grants the quota and so knows the tokens left."""
+        if self._is_isolated():
             return False
-        stood_in_at = self._stood_in_at.get(team, -math.inf)
-        return self._is_first(team) or self._clock.now() - stood_in_at <= ALONE_SECONDS
+        served_at = self._served_as_fallback_at.get(team, -math.inf)
+        return self._is_first(team) or self._clock.now() - served_at <= ISOLATED_SECONDS
 
     def _is_first(self, team: TeamName) -> bool:
         return any(s.is_self for s in self._owners.ranked(team, self._data_centre)[:1])
 
-    def _begin_standing_in(self, team: TeamName, share: Share, now: float) -> None:
-        """Begin anew where another gave out the quota until now."""
-        if now - self._stood_in_at.get(team, -math.inf) > ALONE_SECONDS:
-            self._ledger.begin(team, share, now)
-        self._stood_in_at[team] = now
+    def _begin_as_fallback(self, team: TeamName, share: Share, now: float) -> None:
+        """Restart the account if another node granted the quota until now."""
+        if now - self._served_as_fallback_at.get(team, -math.inf) > ISOLATED_SECONDS:
+            self._ledger.restart(team, share, now)
+        self._served_as_fallback_at[team] = now
 
-    def _is_alone(self) -> bool:
+    def _is_isolated(self) -> bool:
         if self._owners.size(self._data_centre) <= 1:
             return False
-        return self._clock.now() - self._heard_at > ALONE_SECONDS
+        return self._clock.now() - self._last_contact_at > ISOLATED_SECONDS
 
-    def _share(self, question: QuotaQuestion) -> Share:
-        part = self._owners.part(question.team, self._data_centre, question.quota, self._bounds)
-        return Share(question.quota, part)
+    def _share(self, request: QuotaRequest) -> Share:
+        part = self._owners.part(request.team, self._data_centre, request.quota, self._bounds)
+        return Share(request.quota, part)
 
-    def _tell(self, team: TeamName, quota: Quota) -> None:
+    def _log_over_quota(self, team: TeamName, quota: Quota) -> None:
         now = self._clock.now()
-        if now - self._told_at.get(team, -math.inf) >= TOLD_SECONDS:
-            self._told_at[team] = now
+        if now - self._logged_at.get(team, -math.inf) >= LOG_INTERVAL_SECONDS:
+            self._logged_at[team] = now
             self._log.event("team_over_quota", team=team, per_second=quota.per_second)
--- a/src/hoisthook/teams/quota_ledger.py
+++ b/src/hoisthook/teams/quota_ledger.py
@@ -1,4 +1,4 @@
-"""Gives out a data centre's part of each team's quota."""
+"""Accounts for a data centre's part of each team's quota."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from hoisthook.teams.ranked_window import MAX_KEPT_SHARE
+from hoisthook.teams.ranked_window import MAX_RESERVED_SHARE
 from hoisthook.teams.ranked_window import RankedWindow
 from hoisthook.token_bucket import ROUNDING
 from hoisthook.token_bucket import TokenBucket
@@ -19,13 +19,13 @@
     from hoisthook.teams.quota_bounds import QuotaBounds
     from hoisthook.teams.team import Quota
 
-# What another data centre is lent at most, as a share of what is there: both may be short next.
-LENT_SHARE = 0.5
-# Nobody is told to come back later than this: a quota may be raised, and others lend.
+# Largest share of the available tokens that is lent at once: either data centre may run short next.
+MAX_LENT_SHARE = 0.5
+# Upper limit of `retry_after`: the quota may be raised, and other data centres may lend tokens.
 MAX_RETRY_SECONDS = 2.0
 MIN_RETRY_SECONDS = 0.02
-# Of the tokens that have accrued, the more urgent find those that they ask for within this time.
-KEPT_SECONDS = 0.2
+# Of the accrued tokens, the recent demand of more urgent requests for this time is reserved.
+RESERVED_SECONDS = 0.2
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
     Attributes
     ----------
     quota : Quota
-        Of all data centres together.
+        The quota of all data centres together.
     part : float
         From 0 to 1; the parts of all data centres sum to 1.
     """
@@ -45,14 +45,14 @@
 
 
 class UnusedToken(msgspec.Struct, frozen=True, array_like=True):
-    """A token of a request that has not run.
+    """A token of a request that was not executed.
 
     Attributes
     ----------
     age : float
-        Seconds since it was given out, at most.
+        Upper limit of the seconds since it was granted.
     rank : int
-        Of the request.
+        Rank of the request.
     """
 
     age: float
@@ -61,14 +61,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """Tokens for requests.
+    """Tokens granted for requests.
 
     Attributes
     ----------
     count : int
-        How many.
+        Number of tokens.
     is_lent : bool
-        Whether any of them is counted in another data centre, so that none can be taken back here.
+        Whether any of them is counted in another data centre, so that none can be returned here.
     """
 
     count: int
@@ -77,27 +77,27 @@
 
 @dataclass(slots=True)
 class _Account:
-    """What a data centre may give out for a team, what it gave, and what others lent it."""
+    """Tokens that a data centre may grant to a team, has granted, and has borrowed."""
 
     bucket: TokenBucket
-    given: RankedWindow
-    begun: float
-    # Tokens lent by others, each of use once; lost if they are not used soon.
+    granted: RankedWindow
+    opened_at: float
+    # Tokens lent by other data centres; they expire after one lease.
     lent: float = 0.0
     lent_at: float = 0.0
 
 
 class QuotaLedger:
-    """One account a team, for the data centre whose nodes ask this one.
+    """One account per team, kept by the node that owns the quota in its data centre.
 
-    Load pattern: a team asks several times its usual at all nodes at once, each of which sees a
-    few requests a second and cannot tell by itself what the others admit. A token is taken for
-    each request before it is admitted, so the sum over all nodes holds at every moment.
+    Load pattern: a team sends several times its usual rate to all nodes at once. Each node sees a
+    few requests per second and does not know what the others admit. A token is granted for each
+    request before it is admitted, so the bound holds for the sum over all nodes at any time.
 
-    Tokens accrue at the rate at which a window is just filled, and may be saved up as far as the
-    quota's burst; besides, no window gets more than it may. So a team over its quota gets each
-    window full, and one that was idle its burst at once. Accrual alone bounds what came before
-    this node began, of which it knows nothing.
+    Tokens accrue at the rate that fills a window exactly and are saved up to the quota's burst; a
+    sliding window limits the total as well. A team over its quota thus gets each window full, and
+    an idle team its burst at once. What was granted before this node became the owner is unknown
+    to it, and is bounded by the accrual alone.
 
     Parameters
     ----------
@@ -110,89 +110,89 @@
     def __init__(self, bounds: QuotaBounds, now: float) -> None:
         self._bounds = bounds
         self._account_by_team: dict[TeamName, _Account] = {}
-        # Since when no other node gives out what this one does.
+        # Time since which no other node grants tokens of the same part.
         self._since = now
-        # Until when the tokens to come are spoken for by requests that were told to come back.
+        # Time up to which future tokens are promised to requests that were told when to retry.
         self._promised_until: dict[TeamName, float] = {}
 
     def __len__(self) -> int:
         return len(self._account_by_team)
 
-    def take(
+    def grant(
         self, team: TeamName, share: Share, wanted: float, now: float, *, rank: int = 0
     ) -> Grant:
-        """Give out whole tokens for requests of a rank, as far as they are not kept for others."""
+        """Grant whole tokens for requests of a rank, except those reserved for more urgent ones."""
         account = self._account(team, share, now)
-        room = self._room(account, share, rank, now)
+        available = self._available(account, share, rank, now)
         lent = min(wanted, account.lent)
-        own = min(wanted - lent, max(0.0, room))
-        whole = float(int(lent + own + ROUNDING))
-        lent = min(lent, whole)
+        own = min(wanted - lent, max(0.0, available))
+        count = float(int(lent + own + ROUNDING))
+        lent = min(lent, count)
         account.lent -= lent
-        account.bucket.take(whole - lent, now)
-        account.given.give(whole - lent, rank, now)
-        return Grant(int(whole), is_lent=lent > 0)
+        account.bucket.take(count - lent, now)
+        account.granted.record_grant(count - lent, rank, now)
+        return Grant(int(count), is_lent=lent > 0)
 
-    def asked(self, team: TeamName, share: Share, now: float, *, rank: int) -> None:
-        """Note a request of a rank, whatever becomes of it."""
-        self._account(team, share, now).given.asked(rank, now)
+    def record_request(self, team: TeamName, share: Share, now: float, *, rank: int) -> None:
+        """Record a request of a rank, whether or not it gets a token."""
+        self._account(team, share, now).granted.record_request(rank, now)
 
     def put_back(
         self, team: TeamName, share: Share, unused: Iterable[UnusedToken], now: float
     ) -> None:
-        """Take back tokens that were given out here and not used.
+        """Return unused tokens that were granted here to the account.
 
-        One that another node gave out before this one began is lost: it is not known whether it
-        stands in what that one is taken to have given out.
+        A token that a previous owner granted is lost: it may not be part of what that owner is
+        assumed to have granted.
         """
         account = self._account(team, share, now)
         for token in unused:
-            given_at = now - token.age
-            if given_at >= account.begun:
+            granted_at = now - token.age
+            if granted_at >= account.opened_at:
                 account.bucket.put_back(1.0, now)
-                account.given.take_back(token.rank, given_at)
+                account.granted.revoke(token.rank, granted_at)
 
     def lend(
         self, team: TeamName, share: Share, wanted: float, now: float, *, rank: int = 0
     ) -> float:
-        """Give tokens, or parts of them, to another data centre; return how many."""
+        """Lend tokens, also fractions of one, to another data centre; return how many."""
         account = self._account(team, share, now)
-        lent = min(wanted, LENT_SHARE * max(0.0, self._room(account, share, rank, now)))
+        lent = min(wanted, MAX_LENT_SHARE * max(0.0, self._available(account, share, rank, now)))
         account.bucket.take(lent, now)
-        account.given.give(lent, rank, now)
+        account.granted.record_grant(lent, rank, now)
         return lent
 
     def borrowed(self, team: TeamName, share: Share, tokens: float, now: float) -> None:
-        """Take in what another data centre has lent; it is counted there."""
+        """Add tokens that another data centre has lent; they are counted there."""
         account = self._account(team, share, now)
         account.lent += tokens
         account.lent_at = now
 
     def retry_after(self, team: TeamName, share: Share, now: float) -> float:
-        """Return the seconds after which a request that got no token is to come back.
+        """Return the seconds after which a request that got no token is to be retried.
 
-        Each is told a later moment than the one before, as far apart as tokens accrue, so that
-        those refused together do not return together.
+        Successive calls return times spaced by the accrual of one token, so that requests that
+        are rejected together are not retried together.
         """
         account = self._account(team, share, now)
         wait = account.bucket.seconds_to(1.0, now)
-        if account.given.room(0, self._capacity(share), now) < 1.0:
-            wait = max(wait, account.given.seconds_to_room(now))
+        if account.granted.available(0, self._capacity(share), now) < 1.0:
+            wait = max(wait, account.granted.seconds_until_available(now))
         rate = account.bucket.rate or self._bounds.rate(share.quota)
-        first = now + min(wait, MAX_RETRY_SECONDS)
-        moment = max(first, self._promised_until.get(team, first))
-        if moment - now >= MAX_RETRY_SECONDS:
-            moment = first
-        self._promised_until[team] = moment + 1.0 / rate
-        return max(MIN_RETRY_SECONDS, moment - now)
-
-    def distrust(self, now: float) -> None:
-        """Begin as after a start, where others may have given out tokens meanwhile."""
+        earliest = now + min(wait, MAX_RETRY_SECONDS)
+        retry_at = max(earliest, self._promised_until.get(team, earliest))
+        if retry_at - now >= MAX_RETRY_SECONDS:
+            retry_at = earliest
+        self._promised_until[team] = retry_at + 1.0 / rate
+        return max(MIN_RETRY_SECONDS, retry_at - now)
+
+    def reset(self, now: float) -> None:
+        """Reset all accounts as after a start: other nodes may have granted tokens meanwhile."""
         self._since = now
         self._account_by_team.clear()
 
-    def begin(self, team: TeamName, share: Share, now: float) -> None:
-        """Begin to give out a quota that another node gave out until now."""
+    def restart(self, team: TeamName, share: Share, now: float) -> None:
+        """Open the account of a quota that another node owned until now."""
         self._account_by_team[team] = self._new_account(share, now)
 
     def _account(self, team: TeamName, share: Share, now: float) -> _Account:
@@ -212,14 +212,14 @@
         rate = share.part * self._bounds.rate(share.quota)
         depth = share.part * self._bounds.depth(share.quota)
         bucket = TokenBucket(rate, depth, share.part * self._bounds.start(share.quota), since)
-        given = RankedWindow(self._bounds.window + self._bounds.lease_seconds)
-        return _Account(bucket, given, since)
+        granted = RankedWindow(self._bounds.window + self._bounds.lease_seconds)
+        return _Account(bucket, granted, since)
 
-    def _room(self, account: _Account, share: Share, rank: int, now: float) -> float:
-        left = account.given.room(rank, self._capacity(share), now)
+    def _available(self, account: _Account, share: Share, rank: int, now: float) -> float:
+        left = account.granted.available(rank, self._capacity(share), now)
         saved = account.bucket.level(now)
-        kept = KEPT_SECONDS * account.given.urgent_per_second(rank, now)
-        return min(left, saved - min(kept, MAX_KEPT_SHARE * max(0.0, saved)))
+        reserved = RESERVED_SECONDS * account.granted.urgent_per_second(rank, now)
+        return min(left, saved - min(reserved, MAX_RESERVED_SHARE * max(0.0, saved)))
 
     def _capacity(self, share: Share) -> float:
         return share.part * self._bounds.capacity(share.quota)
--- a/src/hoisthook/teams/quota_messages.py
+++ b/src/hoisthook/teams/quota_messages.py
@@ -1,4 +1,4 @@
-"""What nodes ask each other about a team's quota."""
+"""Messages between nodes about a team's quota."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 from hoisthook.teams.quota_ledger import UnusedToken
 from hoisthook.teams.team import Quota
 
-# More than any window holds; what is no number, or less than none, is no message of a node.
+# More than any window holds; messages with more tokens, fewer than 0 or NaN are invalid.
 MAX_TOKENS = 1e9
 Tokens = Annotated[float, msgspec.Meta(ge=0.0, le=MAX_TOKENS)]
 
 
-class QuotaQuestion(msgspec.Struct, frozen=True, array_like=True):
-    """What one node asks of another.
+class QuotaRequest(msgspec.Struct, frozen=True, array_like=True):
+    """A request for tokens from one node to another.
 
     Attributes
     ----------
     team : TeamName
-        Whose quota.
+        The team whose quota is meant.
     quota : Quota
-        As the asker knows it.
+        As the asker is_authoritative it.
     wanted : float
-        Tokens; none to find out whether a node answers.
+        Requested tokens; 0 to return unused ones or to probe the node.
     unused : list of UnusedToken
-        What the asker gives back.
+        Tokens that the requester returns.
     is_lending : bool
-        Whether the asker gives out the quota itself and is short.
+        Whether the requester owns the quota in its data centre and asks for a loan.
     rank : int
-        Of the request among those of its team; 0 is the most urgent.
+        Rank of the request within its team; 0 is the most urgent.
     """
 
     team: TeamName
@@ -42,22 +42,22 @@
     rank: int = 0
 
 
-class QuotaAnswer(msgspec.Struct, frozen=True, array_like=True):
-    """The answer.
+class QuotaReply(msgspec.Struct, frozen=True, array_like=True):
+    """The reply to a `QuotaRequest`.
 
     Attributes
     ----------
     tokens : float
-        Given out; in whole ones unless they are lent.
+        Granted tokens; whole ones unless they are a loan.
     retry_after : float
-        Seconds after which to come back where there are none.
-    knows : bool
-        Whether the node is in a place to tell.
+        Seconds after which to retry if there are none.
+    is_authoritative : bool
+        Whether the node can decide on the quota; a node that may be partitioned cannot.
     is_lent : bool
-        Whether another data centre has lent some of them, so that they are not taken back.
+        Whether another data centre has lent some of them, so that they cannot be returned.
     """
 
     tokens: Tokens
     retry_after: float = 0.0
-    knows: bool = True
+    is_authoritative: bool = True
     is_lent: bool = False
--- a/src/hoisthook/teams/quota_owners.py
+++ b/src/hoisthook/teams/quota_owners.py
@@ -1,4 +1,4 @@
-"""Which node gives out a team's quota in each data centre, and how much of it."""
+"""Assigns each team's quota to owner nodes in the data centres."""
 
 from __future__ import annotations
 
@@ -21,44 +21,44 @@
 
 
 class NodeLocation(Protocol):
-    """A node and where it stands."""
+    """A node and its data centre."""
 
     @property
     def node(self) -> NodeId:
-        """Return its id."""
+        """Return the id of the node."""
 
     @property
     def data_centre(self) -> DataCentre:
-        """Return its data centre."""
+        """Return the data centre of the node."""
 
 
 class QuotaPeer(Protocol):
-    """A node that may be asked."""
+    """A node that may be queried for tokens."""
 
     address: Address
     is_self: bool
 
     @property
     def peer(self) -> NodeLocation:
-        """Return who it is."""
+        """Return the node's location."""
 
 
-# In order of rank, so many stand in for one another in a data centre.
-STAND_INS = 3
+# Nodes of a data centre that may own a quota: the first in rank and its fallbacks.
+OWNERS_PER_DATA_CENTRE = 3
 
 
 class QuotaOwners:
-    """Ranks the nodes of each data centre for each team by hash, the same wherever it is done.
+    """Ranks the nodes of each data centre by a hash per team, with the same result on every node.
 
-    The first of a data centre gives out its part; the others take its place in turn while it
-    cannot be reached. The part goes by the number of nodes, so that all agree on it whatever
-    they believe of who is alive; where that would leave too little to save up whole tokens, one
-    data centre has all of it.
+    The first node of a data centre grants the tokens of its part; the next ones replace it in
+    order while it is unreachable. The part is proportional to the number of known nodes, dead or
+    alive, so that nodes agree on it even if they disagree on which are alive. If the parts would
+    be too small to save up whole tokens, one data centre has the complete quota.
 
     Parameters
     ----------
     quota_peers : iterable of QuotaPeer
-        All nodes that are known.
+        All known nodes.
     """
 
     def __init__(self, quota_peers: Iterable[QuotaPeer]) -> None:
@@ -67,40 +67,40 @@
         for quota_peer in quota_peers:
             self._by_data_centre[quota_peer.peer.data_centre].append(quota_peer)
             self._count += 1
-        self._ranked: dict[tuple[TeamName, DataCentre], list[QuotaPeer]] = {}
+        self._ranked_by_key: dict[tuple[TeamName, DataCentre], list[QuotaPeer]] = {}
 
     def ranked(self, team: TeamName, data_centre: DataCentre) -> list[QuotaPeer]:
-        """Return the nodes of a data centre that may give out a team's quota, first to last."""
+        """Return the nodes of a data centre that may own a team's quota, in order of rank."""
         key = (team, data_centre)
-        found = self._ranked.get(key)
-        if found is None:
+        ranked = self._ranked_by_key.get(key)
+        if ranked is None:
             quota_peers = self._by_data_centre.get(data_centre, [])
-            found = sorted(quota_peers, key=lambda quota_peer: _hash(team, quota_peer.peer.node))[
-                :STAND_INS
+            ranked = sorted(quota_peers, key=lambda quota_peer: _hash(team, quota_peer.peer.node))[
+                :OWNERS_PER_DATA_CENTRE
             ]
-            self._ranked[key] = found
-        return found
+            self._ranked_by_key[key] = ranked
+        return ranked
 
     def others(self, team: TeamName, data_centre: DataCentre) -> list[DataCentre]:
-        """Return the other data centres, in an order of the team's own."""
+        """Return the other data centres, in an order that depends on the team."""
         others = (name for name in self._by_data_centre if name != data_centre)
         return sorted(others, key=lambda name: _hash(team, name))
 
     def size(self, data_centre: DataCentre) -> int:
-        """Return how many nodes a data centre has."""
+        """Return how many nodes are known in a data centre."""
         return len(self._by_data_centre.get(data_centre, []))
 
     def part(
         self, team: TeamName, data_centre: DataCentre, quota: Quota, bounds: QuotaBounds
     ) -> float:
         """Return a data centre's part of a team's quota, from 0 to 1."""
-        least = min(map(len, self._by_data_centre.values()), default=0)
+        smallest = min(map(len, self._by_data_centre.values()), default=0)
         if self._count == 0:
             return 0.0
-        if bounds.depth(quota) * least / self._count >= MIN_DEPTH:
+        if bounds.depth(quota) * smallest / self._count >= MIN_DEPTH:
             return self.size(data_centre) / self._count
-        home = min(self._by_data_centre, key=lambda name: _hash(team, name))
-        return 1.0 if data_centre == home else 0.0
+        sole_owner = min(self._by_data_centre, key=lambda name: _hash(team, name))
+        return 1.0 if data_centre == sole_owner else 0.0
 
 
 def _hash(team: str, name: str) -> int:
--- a/src/hoisthook/teams/quota_verdict.py
+++ b/src/hoisthook/teams/quota_verdict.py
@@ -1,4 +1,4 @@
-"""What a request of a team is told about its quota."""
+"""Outcome of the quota check of a request."""
 
 from __future__ import annotations
 
@@ -11,33 +11,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Token:
-    """Admits one request.
+    """A quota token; it admits one request.
 
     Attributes
     ----------
-    given_at : float
-        When it was given out, at the earliest.
+    granted_at : float
+        Earliest time at which it was granted, in seconds on the monotonic clock.
     rank : int
-        Of the request that it was asked for.
+        Rank of the request for which it was requested.
     is_lent : bool
-        Whether another data centre has lent it; such a one is not taken back.
+        Whether another data centre has lent it; such a token cannot be returned.
     """
 
-    given_at: float
+    granted_at: float
     rank: int = 0
     is_lent: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class OverQuota:
-    """Why a request is not admitted.
+    """Rejection of a request by the quota check.
 
     Attributes
     ----------
     code : ResultCode
-        Over its quota, or nobody can tell.
+        Whether the team is over its quota, or no node can decide.
     retry_after : float
-        Seconds after which to come back.
+        Seconds after which to retry.
     """
 
     code: ResultCode
--- a/src/hoisthook/teams/ranked_window.py
+++ b/src/hoisthook/teams/ranked_window.py
@@ -1,4 +1,4 @@
-"""A window of tokens that a team's more urgent requests find room in."""
+"""A sliding window of granted tokens with a reserve for a team's more urgent requests."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 from hoisthook.teams.window_count import WindowCount
 
-# What was asked for lately tells what will be asked for next.
-ASKED_SECONDS = 2.0
-# Of a window so much is kept for the more urgent at most, so that the others are not starved.
-MAX_KEPT_SHARE = 0.75
+# Window over which the demand is counted to predict the next requests.
+DEMAND_SECONDS = 2.0
+# Largest share of a window that is reserved for more urgent requests, so that others do not starve.
+MAX_RESERVED_SHARE = 0.75
 
 
 class RankedWindow:
-    """Tokens given out in a window, by the rank of the requests that got them.
+    """Tokens granted within a window, by the rank of their requests.
 
-    Load pattern: a team asks several times its quota, of all kinds at once. Given to whoever comes
-    first, its tokens go to each kind alike; so its few valuable requests are refused as often as
-    reads that it can do without, and after a burst of those nothing is left for the rest of the
-    window. So the less urgent get no more of a window than what the more urgent, asking as they
-    did in the last seconds, will leave of it.
+    Load pattern: a team sends several times its quota, with requests of all ranks at once. Granted
+    first come, first served, its few valuable requests are rejected as often as dispensable reads,
+    and after a burst of reads no tokens are left for the rest of the window. Less urgent requests
+    therefore get only the tokens that the more urgent ones will leave, predicted from the demand
+    of the last `DEMAND_SECONDS`.
 
     Parameters
     ----------
@@ -29,58 +29,62 @@
 
     def __init__(self, seconds: float) -> None:
         self._seconds = seconds
-        self._given_by_rank: dict[int, WindowCount] = {}
-        self._asked_by_rank: dict[int, WindowCount] = {}
+        self._granted_by_rank: dict[int, WindowCount] = {}
+        self._requested_by_rank: dict[int, WindowCount] = {}
 
-    def asked(self, rank: int, now: float) -> None:
-        """Note a request, whatever becomes of it."""
-        if rank not in self._asked_by_rank:
-            self._asked_by_rank[rank] = WindowCount(ASKED_SECONDS)
-        self._asked_by_rank[rank].add(1.0, now)
+    def record_request(self, rank: int, now: float) -> None:
+        """Record a request, whether or not it gets a token."""
+        if rank not in self._requested_by_rank:
+            self._requested_by_rank[rank] = WindowCount(DEMAND_SECONDS)
+        self._requested_by_rank[rank].add(1.0, now)
 
-    def give(self, count: float, rank: int, now: float) -> None:
-        """Count tokens that are given out."""
-        if rank not in self._given_by_rank:
-            self._given_by_rank[rank] = WindowCount(self._seconds)
-        self._given_by_rank[rank].add(count, now)
+    def record_grant(self, count: float, rank: int, now: float) -> None:
+        """Add granted tokens to the window."""
+        if rank not in self._granted_by_rank:
+            self._granted_by_rank[rank] = WindowCount(self._seconds)
+        self._granted_by_rank[rank].add(count, now)
 
-    def take_back(self, rank: int, given_at: float) -> None:
-        """Count out a token that was not used."""
-        if rank in self._given_by_rank:
-            self._given_by_rank[rank].remove_one(given_at)
+    def revoke(self, rank: int, granted_at: float) -> None:
+        """Remove an unused token from the window."""
+        if rank in self._granted_by_rank:
+            self._granted_by_rank[rank].remove_one(granted_at)
 
-    def room(self, rank: int, capacity: float, now: float) -> float:
-        """Return how many tokens a window has left for requests of a rank.
+    def available(self, rank: int, capacity: float, now: float) -> float:
+        """Return how many tokens the window has left for requests of a rank.
 
         Parameters
         ----------
         rank : int
-            Theirs; 0 is the most urgent.
+            Rank of the requests; 0 is the most urgent.
         capacity : float
             Tokens in a window.
         now : float
-            The moment.
+            Seconds on a monotonic clock.
         """
         total = 0.0
-        others = 0.0
-        for given_rank, given in self._given_by_rank.items():
-            count = given.total(now)
+        same_or_less_urgent = 0.0
+        for granted_rank, granted in self._granted_by_rank.items():
+            count = granted.total(now)
             total += count
-            if given_rank >= rank:
-                others += count
-        return capacity - max(total, others + self._kept_from(rank, capacity, now))
+            if granted_rank >= rank:
+                same_or_less_urgent += count
+        return capacity - max(
+            total, same_or_less_urgent + self._reserved_above(rank, capacity, now)
+        )
 
-    def seconds_to_room(self, now: float) -> float:
+    def seconds_until_available(self, now: float) -> float:
         """Return the seconds until the oldest tokens leave the window."""
-        left = [given.seconds_to_less(now) for given in self._given_by_rank.values()]
+        left = [granted.seconds_until_expiry(now) for granted in self._granted_by_rank.values()]
         return min((seconds for seconds in left if seconds > 0), default=0.0)
 
     def urgent_per_second(self, rank: int, now: float) -> float:
-        """Return how often what is more urgent than a rank was asked for lately."""
-        urgent = sum(asked.total(now) for r, asked in self._asked_by_rank.items() if r < rank)
-        return urgent / ASKED_SECONDS
+        """Return the recent rate of requests that are more urgent than a rank, per second."""
+        urgent = sum(
+            requested.total(now) for r, requested in self._requested_by_rank.items() if r < rank
+        )
+        return urgent / DEMAND_SECONDS
 
-    def _kept_from(self, rank: int, capacity: float, now: float) -> float:
+    def _reserved_above(self, rank: int, capacity: float, now: float) -> float:
         urgent = self._seconds * self.urgent_per_second(rank, now)
-        # And as many more as chance alone may well add.
-        return min(MAX_KEPT_SHARE * capacity, urgent + 2.0 * math.sqrt(urgent))
+        # Two standard deviations of a Poisson count on top.
+        return min(MAX_RESERVED_SHARE * capacity, urgent + 2.0 * math.sqrt(urgent))
--- a/src/hoisthook/teams/team.py
+++ b/src/hoisthook/teams/team.py
@@ -1,4 +1,4 @@
-"""A team: who it is, how urgent, and how much it may ask."""
+"""Teams, their quotas and the ranks of their requests."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 if TYPE_CHECKING:
     from hoisthook.identity import TeamName
 
-# Ranks of routes that are told apart within one rank of teams.
+# Distinct ranks of routes within one rank of teams.
 ROUTE_RANKS = 16
 
 
 class Quota(msgspec.Struct, frozen=True, array_like=True):
-    """How much a team may ask of all nodes together.
+    """How many requests a team may send to all nodes together.
 
     Attributes
     ----------
     per_second : float
-        Requests a second.
+        Sustained requests per second.
     burst : float
-        Requests besides, that may come at once.
+        Additional requests that may arrive at once.
     """
 
     per_second: float
@@ -31,18 +31,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Team:
-    """A team as operators describe it.
+    """A team as configured by operators.
 
     Attributes
     ----------
     name : TeamName
         Unique in its configuration.
     keys : tuple of bytes
-        Secrets by which its requests are known; several while one takes another's place.
+        Secrets that identify its requests; several during a key rotation.
     priority : int or None
-        Rank that goes before that of the routes it asks for; 0 is the most urgent.
+        Rank that takes precedence over the ranks of routes; 0 is the most urgent.
     quota : Quota or None
-        None where it may ask any number.
+        None if its requests are not limited.
     """
 
     name: TeamName
@@ -52,10 +52,10 @@
 
 
 def rank_of(team: Team | None, route_priority: int) -> int:
-    """Return the rank of a request where teams are told apart; 0 is the most urgent.
+    """Return the rank of a request by its team and its route; 0 is the most urgent.
 
-    Teams are ranked first, and among teams of one rank the routes they ask for. What no team asks
-    for, such as the calls of a running request, stands where a team of its route's rank would.
+    Requests are ranked by team first and by route within one rank of teams. A request without a
+    team, such as a call of a running request, is ranked like one of a team with its route's rank.
     """
-    first = route_priority if team is None or team.priority is None else team.priority
-    return ROUTE_RANKS * max(0, first) + min(max(0, route_priority), ROUTE_RANKS - 1)
+    team_rank = route_priority if team is None or team.priority is None else team.priority
+    return ROUTE_RANKS * max(0, team_rank) + min(max(0, route_priority), ROUTE_RANKS - 1)
--- a/src/hoisthook/teams/team_table.py
+++ b/src/hoisthook/teams/team_table.py
@@ -1,4 +1,4 @@
-"""Finds the team that holds a key."""
+"""Lookup of the team that holds a key."""
 
 from __future__ import annotations
 
@@ -13,12 +13,13 @@
 
     from hoisthook.teams.team import Team
 
-# Of a key's digest in a log line: enough to find it again among thousands, nothing to guess by.
+# Hex digits of a key's digest in a log line: enough to find it among thousands of keys, too few to
+# guess it by.
 LOGGED_DIGITS = 8
 
 
 class KeyFault(Enum):
-    """Why operators' key names nobody."""
+    """Why a configured key identifies no team."""
 
     EMPTY = "empty"
     SHARED = "held by two teams"
@@ -26,16 +27,16 @@
 
 @dataclass(frozen=True, slots=True)
 class UnusableKey:
-    """A key that is passed over; all others hold.
+    """A configured key that is ignored; all other keys are valid.
 
     Attributes
     ----------
     team : Team
-        Who was to hold it.
+        The team for which it is configured.
     digest : str
-        Names the key in log lines.
+        Identifies the key in log lines.
     fault : KeyFault
-        What is wrong with it.
+        Why it is ignored.
     """
 
     team: Team
@@ -46,18 +47,18 @@
 class TeamTable:
     """Teams by the digests of their keys.
 
-    A lookup takes as long whether the first or the last letter of a key is wrong, since it is a
-    digest that is looked up, so that nobody finds a key letter by letter.
+    Keys are looked up by digest, so that the time of a lookup does not tell how many leading
+    characters of a key are right, and a key cannot be guessed character by character.
 
     Parameters
     ----------
     teams : iterable of Team
-        All teams of a configuration; none where it does not tell teams apart.
+        All teams of a configuration; empty if it has no teams.
 
     Attributes
     ----------
     unusable : tuple of UnusableKey
-        Keys that name nobody. One held by two teams would let each pass for the other.
+        Keys that identify no team. A key of two teams would let each act as the other.
     """
 
     def __init__(self, teams: Iterable[Team] = ()) -> None:
@@ -75,7 +76,7 @@
         return len(self.by_name)
 
     def holder(self, key: bytes | None) -> Team | None:
-        """Return the team that holds a key, or None if nobody does."""
+        """Return the team that holds a key, or None."""
         return None if key is None else self._by_digest.get(_digest(key))
 
     def _keys(self) -> Iterator[tuple[Team, bytes]]:
@@ -95,7 +96,7 @@
 
 
 def logged_digest(key: bytes) -> str:
-    """Return what names a key in a log line; the key itself is never written."""
+    """Return the digest that identifies a key in log lines; the key itself is never logged."""
     return _digest(key).hex()[:LOGGED_DIGITS]
 
 
--- a/standin/quota_fleet.py
+++ b/standin/quota_fleet.py
@@ -25,8 +25,8 @@
     from collections.abc import Callable
     from collections.abc import Collection
 
-    from hoisthook.teams.quota_messages import QuotaAnswer
-    from hoisthook.teams.quota_messages import QuotaQuestion
+    from hoisthook.teams.quota_messages import QuotaReply
+    from hoisthook.teams.quota_messages import QuotaRequest
     from hoisthook.teams.quota_owners import QuotaPeer
     from hoisthook.teams.team import Quota
     from hoisthook.teams.team import Team
@@ -86,9 +86,9 @@
         """Start knowing nothing of before."""
         self.alive = True
         self.quota_coordinator = self._new_quota_coordinator()
-        self.quota_coordinator.knows(self.fleet.owners_for(self))
+        self.quota_coordinator.set_owners(self.fleet.owners_for(self))
 
-    async def ask(self, quota_peer: QuotaPeer, question: QuotaQuestion) -> QuotaAnswer | None:
+    async def query_peer(self, quota_peer: QuotaPeer, question: QuotaRequest) -> QuotaReply | None:
         """Return a node's answer, or None if the way there or back is cut."""
         other = self.fleet.by_node[quota_peer.peer.node]
         near = other.place.data_centre == self.place.data_centre
@@ -97,7 +97,7 @@
             return None
         await asyncio.sleep(NEAR_SECONDS if near else FAR_SECONDS)
         if near:
-            other.quota_coordinator.heard()
+            other.quota_coordinator.peer_contacted()
         answer = await other.quota_coordinator.answer(question)
         await asyncio.sleep(NEAR_SECONDS if near else FAR_SECONDS)
         return answer if self.reaches(other) else None
@@ -128,7 +128,7 @@
                 name = NodeId(f"node-{number}-{place}")
                 self.by_node[name] = Node(self, NodeLocation(name, DataCentre(f"dc-{number}")))
         for node in self.by_node.values():
-            node.quota_coordinator.knows(self.owners_for(node))
+            node.quota_coordinator.set_owners(self.owners_for(node))
 
     @property
     def nodes(self) -> list[Node]:
@@ -154,8 +154,8 @@
                     and node.reaches(other)
                 ]
                 if near:
-                    self.random.choice(near).quota_coordinator.heard()
-                    node.quota_coordinator.heard()
+                    self.random.choice(near).quota_coordinator.peer_contacted()
+                    node.quota_coordinator.peer_contacted()
 
     async def press(
         self,
--- a/tests/idempotency/test_key_register.py
+++ b/tests/idempotency/test_key_register.py
@@ -35,12 +35,12 @@
 
 
 def claimed(register: KeyRegister, text: str) -> KeyRecord:
-    done = claim(register, text)
-    assert isinstance(done, Claimed)
-    return done.record
+    result = claim(register, text)
+    assert isinstance(result, Claimed)
+    return result.record
 
 
-def test_repeat_while_the_first_runs_is_told_so(register: KeyRegister) -> None:
+def test_repeat_while_the_first_runs_is_denied(register: KeyRegister) -> None:
     key = register.issue("svc")
     claimed(register, key)
     assert claim(register, key) == Denied(ResultCode.KEY_IN_PROGRESS)
@@ -100,7 +100,7 @@
 
 
 class RegisterMachine(RuleBasedStateMachine):
-    """Whatever the order of sends, outcomes, and time: a key runs at most once."""
+    """The request of a key is executed at most once in any order of sends, outcomes and time."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -120,10 +120,10 @@
     @rule(data=st.data())
     def send(self, data: st.DataObject) -> None:
         key = data.draw(st.sampled_from(self.keys))
-        done = claim(self.register, key)
-        if isinstance(done, Claimed):
+        result = claim(self.register, key)
+        if isinstance(result, Claimed):
             assert key not in self.running
-            self.running[key] = done.record
+            self.running[key] = result.record
 
     @precondition(lambda self: self.running)
     @rule(data=st.data(), outcome=st.sampled_from(["answered", "lost, ran", "lost", "not run"]))
--- a/tests/idempotency/test_replay_window.py
+++ b/tests/idempotency/test_replay_window.py
@@ -27,13 +27,13 @@
     assert window.accept("s", 6)
 
 
-def test_an_absurd_number_costs_no_memory() -> None:
+def test_a_huge_number_costs_no_memory() -> None:
     window = ReplayWindow()
     assert window.accept("s", 10**30)
     assert not window.accept("s", 10**30)
 
 
-def test_senders_are_apart() -> None:
+def test_senders_are_independent() -> None:
     window = ReplayWindow()
     assert window.accept("s", 1)
     assert window.accept("t", 1)
--- a/tests/mesh/test_crash_notifier.py
+++ b/tests/mesh/test_crash_notifier.py
@@ -131,7 +131,7 @@
     assert reader.take(KeyedRecord(key, value))
     while store.value_by_key[key]:
         await asyncio.wait([asyncio.ensure_future(store.written.wait())])
-    assert another.refused_for(SHOP, WORK, clock.now()) == 0.0
+    assert another.rejected_for(SHOP, WORK, clock.now()) == 0.0
     records.close()
 
 
@@ -166,7 +166,7 @@
 async def test_who_is_asked_is_told_next_what_it_lacks(system: MeshSystem) -> None:
     knows, other = await two_machines(system)
     await knows.node.sync.ask(other.node.peers_address, wants_news=True)
-    assert not other.node.crashes.evidence.suspects(SHOP)
+    assert not other.node.crashes.evidence.has_evidence(SHOP)
     await knows.node.sync.ask(other.node.peers_address, wants_news=True)
     assert other.node.crashes.evidence.digest(SHOP) == knows.node.crashes.evidence.digest(SHOP)
 
--- a/tests/retry/test_arrival_budget.py
+++ b/tests/retry/test_arrival_budget.py
@@ -7,24 +7,24 @@
 from hoisthook.retry.arrival import Arrival
 from hoisthook.retry.arrival_budget import ArrivalBudget
 from hoisthook.retry.arrival_budget import RetrySettings
-from hoisthook.retry.arrival_budget import part_of
+from hoisthook.retry.arrival_budget import node_part
 
 WINDOW = 2.0
 NODES = [NodeId(f"node-{number}") for number in range(3)]
 STEPS = ("request", "repeat", "rerun", "start")
 
 
-def budget(extra: float, *, ratio: float = 0.0, part: float | None = None) -> ArrivalBudget:
-    made = ArrivalBudget(RetrySettings(ratio, WINDOW, extra), 0.0)
-    made.has_part(extra if part is None else part, 0.0)
-    return made
+def new_budget(extra: float, *, ratio: float = 0.0, part: float | None = None) -> ArrivalBudget:
+    created = ArrivalBudget(RetrySettings(ratio, WINDOW, extra), 0.0)
+    created.set_part(extra if part is None else part, 0.0)
+    return created
 
 
-def taken(of: ArrivalBudget, arrival: Arrival, now: float, tries: int) -> int:
+def take_repeats(budget: ArrivalBudget, arrival: Arrival, now: float, tries: int) -> int:
     granted = 0
     for _ in range(tries):
-        if of.allows(arrival, now):
-            of.arrived(arrival, now)
+        if budget.allows(arrival, now):
+            budget.arrived(arrival, now)
             granted += 1
     return granted
 
@@ -42,76 +42,81 @@
 ) -> None:
     settings = RetrySettings(ratio, WINDOW, extra)
 
-    def started(node: NodeId, at: float) -> ArrivalBudget:
-        made = ArrivalBudget(settings, at)
-        made.has_part(part_of(extra, node, NODES), at)
-        return made
+    def start(node: NodeId, at: float) -> ArrivalBudget:
+        created = ArrivalBudget(settings, at)
+        created.set_part(node_part(extra, node, NODES), at)
+        return created
 
-    budget_by_node = {node: started(node, 0.0) for node in NODES}
+    budget_by_node = {node: start(node, 0.0) for node in NODES}
     now = 0.0
     requests: list[float] = []
     repeats: list[float] = []
     for gap, step, node in steps:
         now += gap
         if step == "start":
-            budget_by_node[node] = started(node, now)
+            budget_by_node[node] = start(node, now)
         elif step == "request":
-            budget_by_node[node].requested(1.0, now)
+            budget_by_node[node].record_requests(1.0, now)
             requests.append(now)
         else:
             arrival = Arrival.RERUN if step == "rerun" else Arrival.REDIRECTED
-            repeats += [now] * taken(budget_by_node[node], arrival, now, 1)
+            repeats += [now] * take_repeats(budget_by_node[node], arrival, now, 1)
     for begin in repeats:
-        made = sum(1 for moment in repeats if begin <= moment < begin + WINDOW)
-        asked = sum(1 for moment in requests if begin <= moment < begin + WINDOW)
-        assert made <= ratio * asked + extra + 1e-6
+        repeats_in_window = sum(1 for at in repeats if begin <= at < begin + WINDOW)
+        requests_in_window = sum(1 for at in requests if begin <= at < begin + WINDOW)
+        assert repeats_in_window <= ratio * requests_in_window + extra + 1e-6
 
 
 def test_start_begins_with_nothing_and_most_of_the_part_accrues_within_a_window() -> None:
-    fresh = budget(40.0)
-    assert taken(fresh, Arrival.REDIRECTED, 0.0, 40) == 0
-    assert taken(fresh, Arrival.REDIRECTED, WINDOW, 40) == 10
-    assert sum(taken(fresh, Arrival.REDIRECTED, WINDOW * (1 + k / 20), 1) for k in range(21)) >= 20
+    fresh = new_budget(40.0)
+    assert take_repeats(fresh, Arrival.REDIRECTED, 0.0, 40) == 0
+    assert take_repeats(fresh, Arrival.REDIRECTED, WINDOW, 40) == 10
+    assert (
+        sum(take_repeats(fresh, Arrival.REDIRECTED, WINDOW * (1 + k / 20), 1) for k in range(21))
+        >= 20
+    )
 
 
-def test_refused_repeat_is_told_when_there_is_room() -> None:
-    spent = budget(40.0)
+def test_repeat_is_allowed_after_the_announced_wait() -> None:
+    spent = new_budget(40.0)
     opens_in = spent.opens_in(Arrival.REDIRECTED, 0.0)
     assert not spent.allows(Arrival.REDIRECTED, 0.9 * opens_in)
     assert spent.allows(Arrival.REDIRECTED, opens_in)
 
 
 def test_first_arrivals_are_always_allowed() -> None:
-    assert budget(0.0).allows(Arrival.FIRST, 0.0)
+    assert new_budget(0.0).allows(Arrival.FIRST, 0.0)
 
 
-def test_requests_make_room_for_repeats() -> None:
-    asked = budget(40.0, ratio=0.5)
-    asked.requested(8.0, 0.0)
-    assert taken(asked, Arrival.REDIRECTED, 0.0, 40) == 4
+def test_requests_of_callers_add_tokens_for_repeats() -> None:
+    filled = new_budget(40.0, ratio=0.5)
+    filled.record_requests(8.0, 0.0)
+    assert take_repeats(filled, Arrival.REDIRECTED, 0.0, 40) == 4
 
 
-def test_reruns_leave_the_rest_to_requests_that_were_turned_away() -> None:
-    saved = budget(80.0)
-    assert taken(saved, Arrival.RERUN, 10.0, 80) == 4
-    assert taken(saved, Arrival.REDIRECTED, 10.0, 80) == 16
-    assert taken(saved, Arrival.RERUN, 12.0, 80) > 0
+def test_reruns_leave_the_rest_to_rejected_requests() -> None:
+    saved = new_budget(80.0)
+    assert take_repeats(saved, Arrival.RERUN, 10.0, 80) == 4
+    assert take_repeats(saved, Arrival.REDIRECTED, 10.0, 80) == 16
+    assert take_repeats(saved, Arrival.RERUN, 12.0, 80) > 0
 
 
-def test_redirects_leave_no_more_to_reruns_than_the_whole() -> None:
-    saved = budget(80.0)
-    assert taken(saved, Arrival.REDIRECTED, 10.0, 80) == 20
-    assert taken(saved, Arrival.RERUN, 10.0, 80) == 0
+def test_redirects_may_use_up_the_tokens_of_reruns() -> None:
+    saved = new_budget(80.0)
+    assert take_repeats(saved, Arrival.REDIRECTED, 10.0, 80) == 20
+    assert take_repeats(saved, Arrival.RERUN, 10.0, 80) == 0
 
 
 def test_parts_too_small_to_spend_are_held_by_some_and_add_up_over_the_nodes() -> None:
     nodes = [NodeId(f"node-{number}") for number in range(1000)]
-    parts = [part_of(301.0, node, nodes) for node in nodes]
+    parts = [node_part(301.0, node, nodes) for node in nodes]
     assert sum(parts) == 300.0
-    budgets = [budget(301.0, part=part) for part in parts]
-    granted = sum(taken(one, Arrival.REDIRECTED, k * WINDOW, 2) for one in budgets for k in (1, 2))
+    budgets = [new_budget(301.0, part=part) for part in parts]
+    granted = sum(
+        take_repeats(one, Arrival.REDIRECTED, k * WINDOW, 2) for one in budgets for k in (1, 2)
+    )
     assert granted == 300
 
 
 def test_parts_are_equal_where_they_can_be_spent() -> None:
-    assert [part_of(62.0, node, NODES) for node in NODES] == [62.0 / 3] * 3
+    assert [node_part(62.0, node, NODES) for node in NODES] == [62.0 / 3] * 3
--- a/tests/retry/test_retry_budget.py
+++ b/tests/retry/test_retry_budget.py
@@ -45,15 +45,15 @@
     assert layers_with_failing_leaf(3, 20_000, 4.0) <= 1.2
 
 
-def test_hedge_delay_does_not_follow_the_slow_ones() -> None:
-    """A high quantile did: with 5 in 100 slow, hedging waited for them."""
+def test_hedge_delay_does_not_follow_slow_answers() -> None:
+    """A high quantile would: if 5 of 100 answers are slow, the delay grows to their latency."""
     timer = HedgeTimer()
     for number in range(20_000):
         timer.answered(0.400 if number % 20 == 0 else 0.040)
     assert 0.07 < timer.delay < 0.10
 
 
-def test_refused_try_is_given_back() -> None:
+def test_rejected_attempt_is_refunded() -> None:
     budget = RetryBudget(4.0)
     assert budget.take()
     budget.give_back()
--- a/tests/routing/test_link_pacer.py
+++ b/tests/routing/test_link_pacer.py
@@ -1,10 +1,10 @@
-"""Large answers leave room on a narrow link for short ones."""
+"""Paced large answers do not delay short ones on a slow link."""
 
 from __future__ import annotations
 
 import random
 
-from hoisthook.routing.link_pacer import AT_ONCE_BYTES
+from hoisthook.routing.link_pacer import MAX_UNPACED_BYTES
 from hoisthook.routing.link_pacer import PIECE_BYTES
 from hoisthook.routing.link_pacer import LinkPacer
 
@@ -13,33 +13,33 @@
 
 
 def longest_wait(bodies: int, seed: int, *, paced: bool) -> float:
-    """Return the longest that a short answer waits behind large ones that came at once."""
-    chance = random.Random(seed)
-    sizes = [min(540_000, int(chance.lognormvariate(11.2, 0.6))) for _ in range(bodies)]
-    sent: list[tuple[float, int]] = []
+    """Return the longest wait in seconds of a short answer behind simultaneous large ones."""
+    randomness = random.Random(seed)
+    sizes = [min(540_000, int(randomness.lognormvariate(11.2, 0.6))) for _ in range(bodies)]
+    pieces: list[tuple[float, int]] = []
     link_pacer = LinkPacer(MBPS)
     if paced:
-        left = dict(enumerate(sizes))
-        moment = dict.fromkeys(left, 0.0)
-        while left:
-            # Each body hands over its next piece when its turn has come.
-            body = min(left, key=lambda number: moment[number])
-            size = min(PIECE_BYTES, left[body])
-            moment[body] += link_pacer.wait(size, moment[body])
-            sent.append((moment[body], size))
-            left[body] -= size
-            if left[body] <= 0:
-                del left[body]
+        bytes_left = dict(enumerate(sizes))
+        send_at = dict.fromkeys(bytes_left, 0.0)
+        while bytes_left:
+            # The body whose turn is earliest sends its next piece.
+            body = min(bytes_left, key=lambda number: send_at[number])
+            size = min(PIECE_BYTES, bytes_left[body])
+            send_at[body] += link_pacer.wait(size, send_at[body])
+            pieces.append((send_at[body], size))
+            bytes_left[body] -= size
+            if bytes_left[body] <= 0:
+                del bytes_left[body]
     else:
-        sent = [(0.0, size) for size in sizes]
-    return longest_queue(sent)
+        pieces = [(0.0, size) for size in sizes]
+    return longest_queue(pieces)
 
 
-def longest_queue(sent: list[tuple[float, int]]) -> float:
-    """Return the longest time for which the link is busy with what was handed to it."""
+def longest_queue(pieces: list[tuple[float, int]]) -> float:
+    """Return the longest time in seconds that the link needs for its backlog."""
     free_at = 0.0
     longest = 0.0
-    for at, size in sorted(sent):
+    for at, size in sorted(pieces):
         free_at = max(at, free_at) + size / LINK_BYTES_PER_SECOND
         longest = max(longest, free_at - at)
     return longest
@@ -51,19 +51,19 @@
         assert longest_wait(48, seed, paced=True) < 0.1
 
 
-def test_short_answers_and_unknown_links_are_not_spread() -> None:
-    assert not LinkPacer(MBPS).spreads(AT_ONCE_BYTES)
-    assert LinkPacer(MBPS).spreads(AT_ONCE_BYTES + 1)
-    assert not LinkPacer(0.0).spreads(10**9)
+def test_short_answers_and_unknown_links_are_not_paced() -> None:
+    assert not LinkPacer(MBPS).needs_pacing(MAX_UNPACED_BYTES)
+    assert LinkPacer(MBPS).needs_pacing(MAX_UNPACED_BYTES + 1)
+    assert not LinkPacer(0.0).needs_pacing(10**9)
     assert LinkPacer(0.0).wait(10**9, 5.0) == 0.0
 
 
-def test_a_wide_link_waits_for_nothing() -> None:
+def test_a_wide_link_adds_no_wait() -> None:
     link_pacer = LinkPacer(10_000.0)
     assert [link_pacer.wait(PIECE_BYTES, 1.0) for _ in range(50)] == [0.0] * 50
 
 
-def test_what_went_out_at_once_delays_the_pieces_behind_it() -> None:
+def test_unpaced_answers_delay_later_pieces() -> None:
     link_pacer = LinkPacer(MBPS)
-    link_pacer.sent(AT_ONCE_BYTES, 1.0)
+    link_pacer.sent(MAX_UNPACED_BYTES, 1.0)
     assert link_pacer.wait(PIECE_BYTES, 1.0) > 0.01
--- a/tests/routing/test_peer_choice.py
+++ b/tests/routing/test_peer_choice.py
@@ -25,11 +25,16 @@
 def fleet(near: int, far: int) -> PeerDirectory:
     me = Peer(NodeId("me"), "127.0.0.1:1", ServiceName("front"), DataCentre("one"))
     directory = PeerDirectory(me, ListLog())
-    places = ["one"] * near + ["two"] * far
+    data_centres = ["one"] * near + ["two"] * far
     directory.merge(
         [
-            Peer(NodeId(f"{place}-{number}"), f"127.0.0.1:{number + 2}", SHOP, DataCentre(place))
-            for number, place in enumerate(places)
+            Peer(
+                NodeId(f"{data_centre}-{number}"),
+                f"127.0.0.1:{number + 2}",
+                SHOP,
+                DataCentre(data_centre),
+            )
+            for number, data_centre in enumerate(data_centres)
         ],
         "test",
     )
@@ -55,25 +60,25 @@
     )
 
 
-def chosen(directory: PeerDirectory, now: float = NOW) -> Counter[str]:
+def choices_by_data_centre(directory: PeerDirectory, now: float = NOW) -> Counter[str]:
     choice = PeerChoice(directory, ChoiceSettings(0.25), Evacuations(ListLog()), random.Random(1))
     views = [choice.direct(call(), (), now) for _ in range(200)]
     return Counter(view.peer.data_centre for view in views if view is not None)
 
 
-def report_failing(directory: PeerDirectory, place: str, share: float) -> None:
+def report_failing(directory: PeerDirectory, data_centre: str, share: float) -> None:
     for view in directory.serving(SHOP):
-        if view.peer.data_centre == place:
+        if view.peer.data_centre == data_centre:
             view.reported(NodeLoad(1, 0, 4, 1.0, share), NOW - 1.0)
 
 
-def test_near_servers_are_kept_where_all_that_are_known_fail_alike() -> None:
+def test_near_servers_are_preferred_if_all_known_servers_fail_alike() -> None:
     directory = fleet(near=6, far=20)
     report_failing(directory, "one", 0.4)
-    assert set(chosen(directory)) == {"one"}
+    assert set(choices_by_data_centre(directory)) == {"one"}
 
 
-def test_server_that_fails_more_than_the_others_is_left() -> None:
+def test_server_that_fails_more_than_the_others_is_avoided() -> None:
     directory = fleet(near=3, far=3)
     report_failing(directory, "one", 0.0)
     worst = next(iter(directory.serving(SHOP)))
@@ -82,7 +87,7 @@
     assert all(choice.direct(call(), (), NOW) is not worst for _ in range(100))
 
 
-def test_failures_of_long_ago_do_not_keep_a_server_from_being_asked_again() -> None:
+def test_old_failures_do_not_exclude_a_server() -> None:
     directory = fleet(near=2, far=6)
     near = [view for view in directory.serving(SHOP) if view.same_data_centre]
     near[0].reported(NodeLoad(1, 0, 4, 1.0, 0.0), NOW)
@@ -93,7 +98,7 @@
     assert near[1] in {choice.direct(call(), (), later) for _ in range(100)}
 
 
-def test_suspected_node_is_probed_no_oftener_than_it_would_be_chosen() -> None:
+def test_suspected_node_is_probed_no_more_often_than_it_would_be_chosen() -> None:
     directory = fleet(near=9, far=1)
     suspect = next(iter(directory.serving(SHOP)))
     suspect.unreachable(NOW - 10.0)
@@ -103,7 +108,7 @@
     assert all(choice.direct(call(), (), NOW) is not suspect for _ in range(100))
 
 
-def test_node_without_a_backend_server_is_asked_less_and_less_until_it_serves() -> None:
+def test_node_without_a_backend_server_is_tried_with_growing_pauses() -> None:
     view = next(iter(fleet(near=1, far=0).serving(SHOP)))
     closed = []
     now = NOW
--- a/tests/teams/test_held_tokens.py
+++ b/tests/teams/test_held_tokens.py
@@ -18,19 +18,19 @@
 
 def test_tokens_go_back_once_with_their_ages() -> None:
     held = HeldTokens(LEASE)
-    held.unused(TEAM, Token(10.0))
-    held.unused(TEAM, Token(9.0, rank=1))
-    held.unused(TEAM, Token(10.0, is_lent=True))
+    held.add_unused(TEAM, Token(10.0))
+    held.add_unused(TEAM, Token(9.0, rank=1))
+    held.add_unused(TEAM, Token(10.0, is_lent=True))
     assert held.take_unused(TEAM, 10.5) == [UnusedToken(0.5, 0), UnusedToken(1.5, 1)]
     assert held.take_unused(TEAM, 10.5) == []
 
 
-def test_a_busy_node_asks_for_what_it_needs_within_a_lease() -> None:
+def test_a_busy_node_requests_the_tokens_of_one_lease() -> None:
     held = HeldTokens(LEASE)
-    wanted = [held.wanted(TEAM, 10.0 + n / 40) for n in range(80)]
+    wanted = [held.tokens_to_request(TEAM, 10.0 + n / 40) for n in range(80)]
     assert wanted[0] == 1
     assert wanted[-1] == 10
-    assert held.wanted(TEAM, 20.0) == 1
+    assert held.tokens_to_request(TEAM, 20.0) == 1
 
 
 def test_without_slack_nothing_is_held() -> None:
--- a/tests/teams/test_key_lease.py
+++ b/tests/teams/test_key_lease.py
@@ -4,7 +4,7 @@
 from hoisthook.teams.key_lease import KeyLease
 
 
-def test_keys_are_taken_until_the_lease_ends() -> None:
+def test_keys_are_accepted_until_the_lease_ends() -> None:
     lease = KeyLease(5.0)
     assert not lease.holds(0.0)
     lease.confirmed(10.0)
@@ -16,7 +16,7 @@
     assert lease.holds(16.9 - MARGIN_SECONDS)
 
 
-def test_without_a_bound_keys_are_always_taken() -> None:
+def test_without_a_limit_keys_are_always_accepted() -> None:
     lease = KeyLease(0.0)
     assert lease.holds(1e9)
     assert lease.age(1.0) is None
--- a/tests/teams/test_quota_fleet.py
+++ b/tests/teams/test_quota_fleet.py
@@ -1,4 +1,4 @@
-"""What all nodes together admit for a team, while the way between them breaks."""
+"""All nodes together keep a team's bound while nodes fail and the network is partitioned."""
 
 from __future__ import annotations
 
@@ -18,40 +18,44 @@
 MIDDLE = Team(TeamName("middle"), (), quota=Quota(10.0, 10.0))
 SMALL = Team(TeamName("small"), (), quota=Quota(0.8, 0.8))
 TEAMS = (LARGE, MIDDLE, SMALL)
-# A team's usual, as a share of its quota.
-USUAL = 1 / 1.6
-SITE = (20, 19, 17, 18)
+# Usual load of a team as a share of its quota.
+USUAL_SHARE = 1 / 1.6
+NODES_PER_DATA_CENTRE = (20, 19, 17, 18)
 SEEDS = range(20)
 FEW_SEEDS = range(5)
 
 
-async def usual(fleet: Fleet, seconds: float) -> None:
+async def send_usual_load(fleet: Fleet, seconds: float) -> None:
     await asyncio.gather(
-        *(fleet.press(team, USUAL * team.quota.per_second, seconds) for team in TEAMS if team.quota)
+        *(
+            fleet.press(team, USUAL_SHARE * team.quota.per_second, seconds)
+            for team in TEAMS
+            if team.quota
+        )
     )
 
 
-async def hot(fleet: Fleet, seconds: float) -> None:
-    """Each team asks seven times its usual."""
+async def send_overload(fleet: Fleet, seconds: float) -> None:
+    """Send seven times each team's usual load."""
     await asyncio.gather(
         *(
-            fleet.press(team, 7 * USUAL * team.quota.per_second, seconds)
+            fleet.press(team, 7 * USUAL_SHARE * team.quota.per_second, seconds)
             for team in TEAMS
             if team.quota
         )
     )
 
 
-def assert_within(fleet: Fleet) -> None:
+def assert_within_bounds(fleet: Fleet) -> None:
     for team in TEAMS:
         assert team.quota is not None
         assert fleet.most_in_window(team) <= bound(team.quota), team.name
 
 
 @pytest.mark.parametrize("seed", FEW_SEEDS)
-def test_what_lies_within_a_quota_is_not_refused(seed: int) -> None:
-    fleet = play(SITE, seed, lambda fleet: usual(fleet, 30.0))
-    assert_within(fleet)
+def test_requests_within_a_quota_are_not_rejected(seed: int) -> None:
+    fleet = play(NODES_PER_DATA_CENTRE, seed, lambda fleet: send_usual_load(fleet, 30.0))
+    assert_within_bounds(fleet)
     for team in TEAMS:
         assert fleet.unknown[team.name] == 0
         assert fleet.over[team.name] <= 0.01 * fleet.asked[team.name], team.name
@@ -59,115 +63,115 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_hot_teams_get_their_quota_and_no_more(seed: int) -> None:
-    async def story(fleet: Fleet) -> None:
-        await usual(fleet, 5.0)
-        await hot(fleet, 10.0)
+    async def scenario(fleet: Fleet) -> None:
+        await send_usual_load(fleet, 5.0)
+        await send_overload(fleet, 10.0)
 
-    fleet = play(SITE, seed, story)
-    assert_within(fleet)
-    # And the quota is used: ten seconds at the full rate, five at the usual one.
-    got = len(fleet.admitted[LARGE.name])
-    assert got >= 0.95 * (10.0 + 5.0 * USUAL) * 95.0
+    fleet = play(NODES_PER_DATA_CENTRE, seed, scenario)
+    assert_within_bounds(fleet)
+    # The quota is used as well: ten seconds at the full rate, five at the usual one.
+    admitted = len(fleet.admitted[LARGE.name])
+    assert admitted >= 0.95 * (10.0 + 5.0 * USUAL_SHARE) * 95.0
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_data_centre_that_is_cut_off_spends_its_own_part_alone(seed: int) -> None:
-    async def story(fleet: Fleet) -> None:
-        await hot(fleet, 4.0)
+    async def scenario(fleet: Fleet) -> None:
+        await send_overload(fleet, 4.0)
         for node in fleet.nodes:
             node.side = int(node.place.data_centre in ("dc-0", "dc-1"))
-        await hot(fleet, 6.0)
+        await send_overload(fleet, 6.0)
         for node in fleet.nodes:
             node.side = 0
-        await hot(fleet, 6.0)
+        await send_overload(fleet, 6.0)
 
-    assert_within(play(SITE, seed, story))
+    assert_within_bounds(play(NODES_PER_DATA_CENTRE, seed, scenario))
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_nodes_that_are_cut_off_one_by_one_add_nothing(seed: int) -> None:
-    async def story(fleet: Fleet) -> None:
-        await hot(fleet, 4.0)
+    async def scenario(fleet: Fleet) -> None:
+        await send_overload(fleet, 4.0)
         for number, node in enumerate(fleet.nodes):
             if fleet.random.random() < 0.35:
                 node.side = number + 1
-        await hot(fleet, 6.0)
+        await send_overload(fleet, 6.0)
         for node in fleet.nodes:
             node.side = 0
-        await hot(fleet, 6.0)
+        await send_overload(fleet, 6.0)
 
-    assert_within(play(SITE, seed, story))
+    assert_within_bounds(play(NODES_PER_DATA_CENTRE, seed, scenario))
 
 
 @pytest.mark.parametrize("seed", FEW_SEEDS)
-def test_nodes_that_cannot_reach_who_gives_out_a_quota_add_nothing(seed: int) -> None:
-    async def story(fleet: Fleet) -> None:
+def test_nodes_that_cannot_reach_the_quota_owner_add_nothing(seed: int) -> None:
+    async def scenario(fleet: Fleet) -> None:
         data_centre = fleet.nodes[0].place.data_centre
         first = fleet.owners_for(fleet.nodes[0]).ranked(LARGE.name, data_centre)[0].peer.node
         second = fleet.owners_for(fleet.nodes[0]).ranked(LARGE.name, data_centre)[1].peer.node
-        # All but the second in rank, which asks it for them.
+        # The second owner still reaches the first one and queries it for the others.
         for node in fleet.nodes[::2]:
             if node.place.node not in (first, second):
                 node.cannot_reach.add(first)
         await fleet.press(LARGE, 500.0, 12.0)
 
-    fleet = play((20,), seed, story)
-    assert_within(fleet)
+    fleet = play((20,), seed, scenario)
+    assert_within_bounds(fleet)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_nodes_that_are_killed_and_start_again_add_nothing(seed: int) -> None:
-    async def story(fleet: Fleet) -> None:
-        await hot(fleet, 4.0)
+    async def scenario(fleet: Fleet) -> None:
+        await send_overload(fleet, 4.0)
         killed = [node for node in fleet.nodes if fleet.random.random() < 0.55]
         for node in killed:
             node.alive = False
-        await hot(fleet, 2.0)
+        await send_overload(fleet, 2.0)
         for node in killed:
             node.start_again()
-        await hot(fleet, 6.0)
+        await send_overload(fleet, 6.0)
 
-    assert_within(play(SITE, seed, story))
+    assert_within_bounds(play(NODES_PER_DATA_CENTRE, seed, scenario))
 
 
 @pytest.mark.parametrize("seed", FEW_SEEDS)
 def test_restart_of_all_adds_nothing_and_serves_again_within_a_second(seed: int) -> None:
-    async def story(fleet: Fleet) -> None:
-        await hot(fleet, 4.0)
+    async def scenario(fleet: Fleet) -> None:
+        await send_overload(fleet, 4.0)
         for node in fleet.nodes:
             node.start_again()
-        await usual(fleet, 1.0)
+        await send_usual_load(fleet, 1.0)
         for team in TEAMS:
             fleet.asked[team.name] = fleet.over[team.name] = 0
-        await usual(fleet, 6.0)
+        await send_usual_load(fleet, 6.0)
 
-    fleet = play(SITE, seed, story)
-    assert_within(fleet)
+    fleet = play(NODES_PER_DATA_CENTRE, seed, scenario)
+    assert_within_bounds(fleet)
     for team in TEAMS:
         assert fleet.over[team.name] <= 0.01 * fleet.asked[team.name], team.name
 
 
 @pytest.mark.parametrize("seed", FEW_SEEDS)
 def test_team_whose_callers_are_all_at_one_node_gets_all_of_its_quota(seed: int) -> None:
-    async def story(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         node = fleet.nodes[fleet.random.randrange(len(fleet.nodes))]
-        await fleet.press(LARGE, USUAL * 95.0, 10.0, [node])
+        await fleet.press(LARGE, USUAL_SHARE * 95.0, 10.0, [node])
         await fleet.press(LARGE, 300.0, 10.0, [node])
 
-    fleet = play(SITE, seed, story)
-    assert_within(fleet)
-    assert len(fleet.admitted[LARGE.name]) >= 0.95 * (10.0 + 10.0 * USUAL) * 95.0
+    fleet = play(NODES_PER_DATA_CENTRE, seed, scenario)
+    assert_within_bounds(fleet)
+    assert len(fleet.admitted[LARGE.name]) >= 0.95 * (10.0 + 10.0 * USUAL_SHARE) * 95.0
 
 
 @pytest.mark.parametrize("seed", FEW_SEEDS)
 def test_demand_that_moves_to_another_data_centre_takes_its_quota_along(seed: int) -> None:
-    async def story(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         for name in ("dc-0", "dc-2"):
             there = [node for node in fleet.nodes if node.place.data_centre == name]
-            await fleet.press(LARGE, USUAL * 95.0, 8.0, there)
+            await fleet.press(LARGE, USUAL_SHARE * 95.0, 8.0, there)
 
-    fleet = play(SITE, seed, story)
-    assert_within(fleet)
+    fleet = play(NODES_PER_DATA_CENTRE, seed, scenario)
+    assert_within_bounds(fleet)
     assert fleet.over[LARGE.name] <= 0.01 * fleet.asked[LARGE.name]
 
 
@@ -175,74 +179,74 @@
 def test_lower_quota_binds_one_window_later(seed: int) -> None:
     lower = Team(LARGE.name, (), quota=Quota(20.0, 20.0))
 
-    async def story(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         await fleet.press(LARGE, 300.0, 5.0)
         fleet.admitted[LARGE.name].clear()
         await fleet.press(lower, 300.0, 10.0)
 
-    fleet = play(SITE, seed, story)
+    fleet = play(NODES_PER_DATA_CENTRE, seed, scenario)
     assert lower.quota is not None
     assert fleet.most_in_window(lower) <= bound(lower.quota)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_tokens_of_requests_that_were_not_run_add_nothing_later(seed: int) -> None:
-    async def story(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         fleet.not_run_share = 0.6
-        await hot(fleet, 6.0)
+        await send_overload(fleet, 6.0)
         fleet.not_run_share = 0.0
-        await hot(fleet, 6.0)
+        await send_overload(fleet, 6.0)
 
-    assert_within(play(SITE, seed, story))
+    assert_within_bounds(play(NODES_PER_DATA_CENTRE, seed, scenario))
 
 
 @pytest.mark.parametrize("seed", FEW_SEEDS)
 def test_requests_that_were_not_run_leave_their_quota_to_others(seed: int) -> None:
-    async def story(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         fleet.not_run_share = 0.5
         await fleet.press(LARGE, 1.5 * 95.0, 10.0)
 
-    fleet = play(SITE, seed, story)
-    assert_within(fleet)
-    # Half of it is not run: what runs lies within the quota.
+    fleet = play(NODES_PER_DATA_CENTRE, seed, scenario)
+    assert_within_bounds(fleet)
+    # Half of the requests are not executed; the others lie within the quota.
     assert fleet.over[LARGE.name] <= 0.3 * fleet.asked[LARGE.name]
 
 
 @pytest.mark.parametrize("seed", FEW_SEEDS)
-def test_a_team_over_its_quota_keeps_its_tokens_for_what_is_urgent(seed: int) -> None:
-    async def story(fleet: Fleet) -> None:
+def test_a_team_over_its_quota_keeps_its_tokens_for_urgent_requests(seed: int) -> None:
+    async def scenario(fleet: Fleet) -> None:
         await asyncio.gather(
             fleet.press(LARGE, 60.0, 10.0, rank=0), fleet.press(LARGE, 240.0, 10.0, rank=1)
         )
 
-    fleet = play(SITE, seed, story)
-    assert_within(fleet)
+    fleet = play(NODES_PER_DATA_CENTRE, seed, scenario)
+    assert_within_bounds(fleet)
     assert fleet.admitted_by_rank[0] >= 0.95 * fleet.asked_by_rank[0]
-    # And what is left goes to the others.
+    # The tokens left go to the less urgent requests.
     assert len(fleet.admitted[LARGE.name]) >= 0.9 * 10.0 * 95.0
 
 
-def test_those_refused_together_are_told_different_times() -> None:
-    async def story(fleet: Fleet) -> None:
+def test_requests_rejected_together_get_different_retry_times() -> None:
+    async def scenario(fleet: Fleet) -> None:
         await fleet.press(MIDDLE, 200.0, 2.0)
         assert MIDDLE.quota is not None
         quota_coordinators = [fleet.nodes[n].quota_coordinator for n in range(10)]
-        refused = [
+        rejected = [
             await quota_coordinator.admit(MIDDLE.name, MIDDLE.quota)
             for quota_coordinator in quota_coordinators
         ]
-        times = {round(r.retry_after, 3) for r in refused if isinstance(r, OverQuota)}
+        times = {round(r.retry_after, 3) for r in rejected if isinstance(r, OverQuota)}
         assert len(times) >= 5
         assert all(0 < time <= 2.0 for time in times)
 
-    play((10,), 1, story)
+    play((10,), 1, scenario)
 
 
 def test_a_node_that_is_alone_in_its_data_centre_serves() -> None:
-    async def story(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         await asyncio.sleep(5.0)
         await fleet.press(MIDDLE, 5.0, 4.0)
 
-    fleet = play((1, 1), 1, story)
+    fleet = play((1, 1), 1, scenario)
     assert fleet.unknown[MIDDLE.name] == 0
     assert fleet.over[MIDDLE.name] == 0
--- a/tests/teams/test_team_table.py
+++ b/tests/teams/test_team_table.py
@@ -48,21 +48,27 @@
     assert table.unusable == ()
 
 
-def test_a_table_without_teams_tells_nobody_apart() -> None:
+def test_only_a_table_with_teams_is_true() -> None:
     assert not TeamTable()
     assert TeamTable([Team(TeamName("without-keys"), ())])
 
 
 @given(st.integers(0, 5), st.integers(0, 5), st.integers(0, 40), st.integers(0, 40))
-def test_teams_are_ranked_before_routes(mine: int, other: int, route: int, theirs: int) -> None:
-    first = rank_of(Team(TeamName("a"), (), mine), route)
-    second = rank_of(Team(TeamName("b"), (), other), theirs)
-    if mine != other:
-        assert (first < second) is (mine < other)
-    elif min(route, theirs) < ROUTE_RANKS - 1:
-        assert (first < second) is (route < theirs)
-
-
-def test_what_no_team_asks_for_ranks_as_its_route_says() -> None:
-    between = rank_of(None, 1)
-    assert rank_of(Team(TeamName("a"), (), 0), 9) < between < rank_of(Team(TeamName("b"), (), 2), 0)
+def test_teams_are_ranked_before_routes(
+    rank: int, other_rank: int, route: int, other_route: int
+) -> None:
+    first = rank_of(Team(TeamName("a"), (), rank), route)
+    second = rank_of(Team(TeamName("b"), (), other_rank), other_route)
+    if rank != other_rank:
+        assert (first < second) is (rank < other_rank)
+    elif min(route, other_route) < ROUTE_RANKS - 1:
+        assert (first < second) is (route < other_route)
+
+
+def test_request_without_a_team_is_ranked_by_its_route() -> None:
+    without_team = rank_of(None, 1)
+    assert (
+        rank_of(Team(TeamName("a"), (), 0), 9)
+        < without_team
+        < rank_of(Team(TeamName("b"), (), 2), 0)
+    )
