--- a/src/hoisthook/retry/caller_share.py
+++ b/src/hoisthook/retry/caller_share.py
@@ -9,7 +9,7 @@
     from hoisthook.identity import RouteName
     from hoisthook.retry.idle_tracker import IdleObservation
 
-# Share of the estimate that is counted, to stay on the safe side.
+# Share of the estimated number of callers' requests that is counted.
 CALLER_WEIGHT_FACTOR = 0.9
 # Expected idle observations that a new route starts with, none of them idle, so that its requests
 # are at first taken for calls of backend servers.
--- a/src/hoisthook/retry/crash_evidence.py
+++ b/src/hoisthook/retry/crash_evidence.py
@@ -46,7 +46,7 @@
     instance : InstanceId
         The incarnation that crashed; `SUCCEEDED` if some incarnation completed the work.
     age : float
-        Seconds since then; an age, since the clocks of instances differ.
+        Seconds since the crash or success; not a time, because the clocks of instances differ.
     """
 
     service: ServiceName
@@ -112,7 +112,7 @@
     def __init__(self, log: EventSink) -> None:
         self._log = log
         self._by_service: dict[ServiceName, dict[WorkId, _Suspect]] = {}
-        # Cached: sent with each request between nodes, and rarely changed.
+        # Cached, since each poll between nodes carries the digest and it rarely changes.
         self._digest_by_service: dict[ServiceName, int] = {}
         self._on_rejected: list[Callable[[ServiceName, WorkId], None]] = []
 
@@ -224,12 +224,12 @@
         """
         if len(self) <= MAX_WORKS:
             return
-        held = [
+        candidates = [
             (len(suspect.crashed_instances), suspect.last_at, service, work)
             for service, works in self._by_service.items()
             for work, suspect in works.items()
         ]
-        _, _, service, work = min(held)
+        _, _, service, work = min(candidates)
         kept = {w: s for w, s in self._by_service[service].items() if w != work}
         self._replace_works(service, kept)
 
--- a/src/hoisthook/teams/key_lease.py
+++ b/src/hoisthook/teams/key_lease.py
@@ -4,11 +4,11 @@
 
 import math
 
-# Seconds within which an admitted request starts to be executed.
+# Subtracted from the lease: an admitted request starts to be executed within this time.
 MARGIN_SECONDS = 0.4
-# Shares of the lease for which, at most, a reader waits for a change of the store and holds a poll
-# of another node open. A change then reaches the nodes that poll the reader, and those that poll
-# them, before their leases end.
+# As shares of the lease: longest wait of a reader for a change of the store, and longest time for
+# which a reader holds the poll of another node open. With these values a change reaches the nodes
+# that poll the reader, and those that poll them, before their leases end.
 WAIT_SHARE = 0.2
 HOLD_SHARE = 0.08
 
@@ -23,7 +23,7 @@
     Parameters
     ----------
     seconds : float
-        Time after the acknowledgement of a revocation from which the key is accepted nowhere; 0 if
+        Time after the acknowledgement of a revocation by which all nodes reject the key; 0 if
         nodes continue to accept keys without confirmation.
     """
 
--- a/src/hoisthook/teams/quota_coordinator.py
+++ b/src/hoisthook/teams/quota_coordinator.py
@@ -36,7 +36,7 @@
 MAX_LENDERS = 3
 # Concurrent requests share a loan; a request that got none of its tokens tries again.
 MAX_BORROW_ATTEMPTS = 3
-# Size of a loan: the tokens of the quota for this time, and at least one.
+# A loan is the number of tokens that the quota yields in this time, and at least one.
 BORROW_SECONDS = 0.1
 # A node without contact to any other node of its data centre for this time may be partitioned from
 # one that grants the same quota there, so it grants nothing.
@@ -207,7 +207,7 @@
         return QuotaReply(0.0, self._ledger.retry_after(team, share, self._clock.now()))
 
     async def _borrow(self, request: QuotaRequest, share: Share) -> bool:
-        """Borrow tokens from other data centres; return False if no loan was requested.
+        """Borrow tokens from other data centres; return whether a loan was requested.
 
         Concurrent requests wait for the same loan.
         """
@@ -232,7 +232,7 @@
             reply = await self._query(quota_peer, loan_request)
             if reply is None or reply.tokens <= 0:
                 continue
-            self._ledger.borrowed(request.team, share, reply.tokens, self._clock.now())
+            self._ledger.add_borrowed(request.team, share, reply.tokens, self._clock.now())
             borrowed += reply.tokens
             if borrowed >= 1:
                 return
--- a/src/hoisthook/teams/quota_ledger.py
+++ b/src/hoisthook/teams/quota_ledger.py
@@ -83,8 +83,8 @@
     granted: RankedWindow
     opened_at: float
     # Tokens lent by other data centres; they expire after one lease.
-    lent: float = 0.0
-    lent_at: float = 0.0
+    borrowed: float = 0.0
+    borrowed_at: float = 0.0
 
 
 class QuotaLedger:
@@ -102,7 +102,7 @@
     Parameters
     ----------
     bounds : QuotaBounds
-        What may be admitted.
+        The bound on the admitted requests.
     now : float
         Seconds on a monotonic clock.
     """
@@ -124,14 +124,14 @@
         """Grant whole tokens for requests of a rank, except those reserved for more urgent ones."""
         account = self._account(team, share, now)
         available = self._available(account, share, rank, now)
-        lent = min(wanted, account.lent)
-        own = min(wanted - lent, max(0.0, available))
-        count = float(int(lent + own + ROUNDING))
-        lent = min(lent, count)
-        account.lent -= lent
-        account.bucket.take(count - lent, now)
-        account.granted.record_grant(count - lent, rank, now)
-        return Grant(int(count), is_lent=lent > 0)
+        borrowed = min(wanted, account.borrowed)
+        own = min(wanted - borrowed, max(0.0, available))
+        count = float(int(borrowed + own + ROUNDING))
+        borrowed = min(borrowed, count)
+        account.borrowed -= borrowed
+        account.bucket.take(count - borrowed, now)
+        account.granted.record_grant(count - borrowed, rank, now)
+        return Grant(int(count), is_lent=borrowed > 0)
 
     def record_request(self, team: TeamName, share: Share, now: float, *, rank: int) -> None:
         """Record a request of a rank, whether or not it gets a token."""
@@ -162,11 +162,11 @@
         account.granted.record_grant(lent, rank, now)
         return lent
 
-    def borrowed(self, team: TeamName, share: Share, tokens: float, now: float) -> None:
+    def add_borrowed(self, team: TeamName, share: Share, tokens: float, now: float) -> None:
         """Add tokens that another data centre has lent; they are counted there."""
         account = self._account(team, share, now)
-        account.lent += tokens
-        account.lent_at = now
+        account.borrowed += tokens
+        account.borrowed_at = now
 
     def retry_after(self, team: TeamName, share: Share, now: float) -> float:
         """Return the seconds after which a request that got no token is to be retried.
@@ -192,7 +192,7 @@
         self._account_by_team.clear()
 
     def restart(self, team: TeamName, share: Share, now: float) -> None:
-        """Open the account of a quota that another node owned until now."""
+        """Open a new account for a quota that another node owned until now."""
         self._account_by_team[team] = self._new_account(share, now)
 
     def _account(self, team: TeamName, share: Share, now: float) -> _Account:
@@ -204,8 +204,8 @@
             rate = share.part * self._bounds.rate(share.quota)
             depth = share.part * self._bounds.depth(share.quota)
             account.bucket.resize(rate, depth, now)
-        if now - account.lent_at > self._bounds.lease_seconds:
-            account.lent = 0.0
+        if now - account.borrowed_at > self._bounds.lease_seconds:
+            account.borrowed = 0.0
         return account
 
     def _new_account(self, share: Share, since: float) -> _Account:
--- a/src/hoisthook/teams/quota_messages.py
+++ b/src/hoisthook/teams/quota_messages.py
@@ -23,7 +23,7 @@
     team : TeamName
         The team whose quota is meant.
     quota : Quota
-        As the asker is_authoritative it.
+        The quota as the requester knows it.
     wanted : float
         Requested tokens; 0 to return unused ones or to probe the node.
     unused : list of UnusedToken
--- a/src/hoisthook/teams/quota_verdict.py
+++ b/src/hoisthook/teams/quota_verdict.py
@@ -35,7 +35,7 @@
     Attributes
     ----------
     code : ResultCode
-        Whether the team is over its quota, or no node can decide.
+        ``TEAM_OVER_QUOTA``, or ``TEAM_QUOTA_UNKNOWN`` if no node can decide.
     retry_after : float
         Seconds after which to retry.
     """
