--- a/src/hoisthook/idempotency/key_register.py
+++ b/src/hoisthook/idempotency/key_register.py
@@ -147,7 +147,7 @@
         return Key(self._node, self._incarnation, service, issued_ms, nonce, signature).text
 
     def was_issued_here(self, key: Key) -> bool:
-        """Return whether this incarnation issued the key."""
+        """Return whether the key names this incarnation as its issuer; does not verify it."""
         return key.node == self._node and key.incarnation == self._incarnation
 
     def claim(self, key: Key, service: ServiceName, fingerprint: bytes) -> Claim:
--- a/src/hoisthook/idempotency/replay_window.py
+++ b/src/hoisthook/idempotency/replay_window.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from hoisthook.identity import Incarnation
 
-# Attempts per sender that are tracked below the highest number.
+# Attempt numbers tracked per sender, up to the highest one.
 WINDOW = 1024
 MAX_SENDERS = 32_768
 _MASK = (1 << WINDOW) - 1
--- a/src/hoisthook/retry/idle_tracker.py
+++ b/src/hoisthook/retry/idle_tracker.py
@@ -21,7 +21,7 @@
     share : float
         Recent share of time for which it was idle, from 0 to 1; 0 if not known.
     is_idle : bool
-        Whether it executed nothing at that moment, so that it cannot have sent the request.
+        Whether it was idle then, so that it cannot have sent the request as a call.
     """
 
     share: float = 0.0
--- a/src/hoisthook/retry/retry_budget.py
+++ b/src/hoisthook/retry/retry_budget.py
@@ -8,7 +8,7 @@
 
 
 class RetryBudget:
-    """Each call adds ``percent`` / 100 of an attempt; each extra attempt spends a whole one.
+    """Each call adds ``percent`` / 100 of an attempt; each extra attempt spends one.
 
     Over any series of ``n`` calls at most ``n * percent / 100 + MAX_SAVED`` extra
     attempts are made.
--- a/src/hoisthook/routing/admission_rate.py
+++ b/src/hoisthook/routing/admission_rate.py
@@ -36,8 +36,8 @@
     Load pattern: all backend servers of a service reject half of their requests, so that far more
     repeats are due than the repeat budget allows. When each of them tried up to ten nodes, 1 of
     100 such attempts was admitted, while they took a third of the traffic between data centres.
-    The recent outcomes of other requests tell the same in advance. The free capacity is still
-    used up as long as each request makes one attempt.
+    The recent outcomes of other requests predict the rejections. Free capacity is still used up
+    as long as each request makes one attempt.
     """
 
     def __init__(self) -> None:
--- a/src/hoisthook/teams/quota_ledger.py
+++ b/src/hoisthook/teams/quota_ledger.py
@@ -112,7 +112,7 @@
         self._account_by_team: dict[TeamName, _Account] = {}
         # Time since which no other node grants tokens of the same part.
         self._since = now
-        # Time up to which future tokens are promised to requests that were told when to retry.
+        # Time up to which future tokens are promised to rejected requests by their retry times.
         self._promised_until: dict[TeamName, float] = {}
 
     def __len__(self) -> int:
--- a/tests/retry/test_arrival_budget.py
+++ b/tests/retry/test_arrival_budget.py
@@ -20,9 +20,9 @@
     return created
 
 
-def take_repeats(budget: ArrivalBudget, arrival: Arrival, now: float, tries: int) -> int:
+def take_repeats(budget: ArrivalBudget, arrival: Arrival, now: float, attempts: int) -> int:
     granted = 0
-    for _ in range(tries):
+    for _ in range(attempts):
         if budget.allows(arrival, now):
             budget.arrived(arrival, now)
             granted += 1
@@ -61,9 +61,9 @@
         else:
             arrival = Arrival.RERUN if step == "rerun" else Arrival.REDIRECTED
             repeats += [now] * take_repeats(budget_by_node[node], arrival, now, 1)
-    for begin in repeats:
-        repeats_in_window = sum(1 for at in repeats if begin <= at < begin + WINDOW)
-        requests_in_window = sum(1 for at in requests if begin <= at < begin + WINDOW)
+    for start_at in repeats:
+        repeats_in_window = sum(1 for at in repeats if start_at <= at < start_at + WINDOW)
+        requests_in_window = sum(1 for at in requests if start_at <= at < start_at + WINDOW)
         assert repeats_in_window <= ratio * requests_in_window + extra + 1e-6
 
 
@@ -89,9 +89,9 @@
 
 
 def test_requests_of_callers_add_tokens_for_repeats() -> None:
-    filled = new_budget(40.0, ratio=0.5)
-    filled.record_requests(8.0, 0.0)
-    assert take_repeats(filled, Arrival.REDIRECTED, 0.0, 40) == 4
+    budget = new_budget(40.0, ratio=0.5)
+    budget.record_requests(8.0, 0.0)
+    assert take_repeats(budget, Arrival.REDIRECTED, 0.0, 40) == 4
 
 
 def test_reruns_leave_the_rest_to_rejected_requests() -> None:
@@ -113,7 +113,9 @@
     assert sum(parts) == 300.0
     budgets = [new_budget(301.0, part=part) for part in parts]
     granted = sum(
-        take_repeats(one, Arrival.REDIRECTED, k * WINDOW, 2) for one in budgets for k in (1, 2)
+        take_repeats(budget, Arrival.REDIRECTED, k * WINDOW, 2)
+        for budget in budgets
+        for k in (1, 2)
     )
     assert granted == 300
 
--- a/tests/retry/test_caller_share.py
+++ b/tests/retry/test_caller_share.py
@@ -1,4 +1,4 @@
-"""Requests of callers are told from calls by whether their ingress node was idle."""
+"""Requests of callers are distinguished from calls by the idle time of their ingress nodes."""
 
 from __future__ import annotations
 
@@ -45,8 +45,8 @@
             work = WORK_SECONDS * randomness.lognormvariate(0.0, 0.3)
             heapq.heappush(events, (now + 0.5 * work, "call"))
             heapq.heappush(events, (now + work, "end"))
-            begins = now + randomness.expovariate(running / WORK_SECONDS)
-            heapq.heappush(events, (begins, "begin"))
+            next_begin = now + randomness.expovariate(running / WORK_SECONDS)
+            heapq.heappush(events, (next_begin, "begin"))
             continue
         if event == "end":
             runs -= 1
