--- a/src/hoisthook/adapter/operator_service.py
+++ b/src/hoisthook/adapter/operator_service.py
@@ -134,7 +134,7 @@
                 node=member.node,
                 node_address=member.address,
                 slots=member.slots,
-                takes_work=member.takes_work and not member.is_gone,
+                takes_work=member.takes_work and not member.has_departed,
                 node_status=member.status.value,
                 drained_by_operator=member.backend_server in self._state.drained,
                 drain_revision=self._state.revision_by_key.get(f"drain/{member.backend_server}", 0),
--- a/src/hoisthook/configuration/configuration_follower.py
+++ b/src/hoisthook/configuration/configuration_follower.py
@@ -120,7 +120,7 @@
         if self.on_contact is not None:
             self.on_contact(begun)
 
-    async def peer_offset(self, address: Address, offset: int) -> None:
+    async def fetch_from_peer(self, address: Address, offset: int) -> None:
         """Fetch from a peer what it has applied beyond the state."""
         if offset <= self._state.offset:
             return
--- a/src/hoisthook/membership/__init__.py
+++ b/src/hoisthook/membership/__init__.py
@@ -1,3 +1,3 @@
-"""Who is there, learned from peers."""
+"""Cluster membership and peer state, exchanged between nodes by gossip and polling."""
 
 from __future__ import annotations
--- a/src/hoisthook/membership/backend_incarnation.py
+++ b/src/hoisthook/membership/backend_incarnation.py
@@ -1,4 +1,4 @@
-"""Which incarnation of a backend server a message speaks of."""
+"""Identifies one incarnation of a backend server."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendIncarnation:
-    """One life of a backend server; a later one may bear the same id.
+    """One run of a backend server process; a later incarnation may reuse the same id.
 
     Attributes
     ----------
     instance : InstanceId
         The id under which it serves.
     born : int or None
-        Unix milliseconds of its start, as it says itself; None if it has not said so.
+        Start time in Unix milliseconds as reported by the backend server; None if not reported.
     """
 
     instance: InstanceId
     born: int | None = None
 
     def is_later_than(self, other: BackendIncarnation) -> bool:
-        """Return whether it is known to be a later life under the same id."""
+        """Return whether this is known to be a later incarnation under the same id."""
         if self.instance != other.instance or self.born is None or other.born is None:
             return False
         return self.born > other.born
--- a/src/hoisthook/membership/change_log.py
+++ b/src/hoisthook/membership/change_log.py
@@ -1,4 +1,4 @@
-"""In which order a node learned of others, so that it tells each asker only the difference."""
+"""Orders the known nodes by last change, so that a polling node gets only the difference."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 if TYPE_CHECKING:
     from hoisthook.identity import NodeId
 
-# Superseded entries are dropped once they are more than the live ones and this many: each entry
-# is then moved at most once for each that is added.
+# Superseded entries are dropped once they outnumber the live ones by this many, which bounds the
+# cost of compaction to one move per added entry.
 COMPACT_BEYOND_ENTRIES = 64
 
 
 class ChangeLog:
     """Nodes by the revision at which they were last added or changed.
 
-    A list of 195 nodes is 20 KB; an answer to who asks every 0.6 s, told what came since, is
-    44 bytes while nothing changes (both encoded, without HTTP).
+    A full list of 195 nodes takes 20 KB. A poll every 0.6 s that returns only the changes since
+    the last one takes 44 bytes while nothing changes (both encoded, without HTTP).
 
     Attributes
     ----------
     revision : int
-        Of the newest entry; 0 before the first.
+        Revision of the newest entry; 0 before the first.
     """
 
     def __init__(self) -> None:
@@ -30,7 +30,7 @@
         self._revision_by_node: dict[NodeId, int] = {}
 
     def note(self, node: NodeId) -> None:
-        """Add a node that is new or has changed."""
+        """Record that a node is new or has changed."""
         self.revision += 1
         self._revision_by_node[node] = self.revision
         self._entries.append((self.revision, node))
@@ -38,11 +38,11 @@
             self._entries = [entry for entry in self._entries if self._is_live(entry)]
 
     def forget(self, node: NodeId) -> None:
-        """Leave a node out from now on."""
+        """Remove a node, so that `since` no longer returns it."""
         self._revision_by_node.pop(node, None)
 
     def since(self, revision: int) -> list[NodeId]:
-        """Return the nodes noted after ``revision``, newest first."""
+        """Return the nodes that were added or changed after ``revision``, newest first."""
         found: list[NodeId] = []
         for entry in reversed(self._entries):
             if entry[0] <= revision:
--- a/src/hoisthook/membership/gossip.py
+++ b/src/hoisthook/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Tells peers what is new and learns from them, once an interval."""
+"""Periodic gossip exchanges with peers."""
 
 from __future__ import annotations
 
@@ -26,38 +26,39 @@
 
 FULL_SYNC_SECONDS = 2.0
 JOIN_ROUNDS = 3
-# A seed that is not known is asked once in so many rounds: one that was slow to start may have
-# gathered others of whom nobody here has heard. A dead one costs a failed connection then.
+# Rounds between exchanges with a seed that is not in the table. A seed that was slow to start may
+# know nodes that are unknown here; a dead seed costs a failed connection each time.
 UNKNOWN_SEED_ROUNDS = 5
-FAREWELL_PEERS = 5
-FAREWELL_DRAWS = 25
-BUSY_RECONCILE_SHARE = 0.02
-IDLE_RECONCILE_SHARE = 0.25
+ANNOUNCE_PEERS = 5
+ANNOUNCE_DRAWS = 25
+# Probability that a table with another digest is reconciled.
+BUSY_RECONCILE_PROBABILITY = 0.02
+IDLE_RECONCILE_PROBABILITY = 0.25
 MAX_BUCKETS = 32
 
 
 class Gossip:
-    """Push and pull with one random peer an interval, in bounded messages.
+    """Push-pull gossip with one random peer per interval, in messages of bounded size.
 
-    A peer that does not answer is suspected; one that stays suspected for
-    `hoisthook.membership.member_table.SUSPECT_SECONDS` is declared dead. Tables
-    that differ are reconciled by the parts that differ, by chance and seldom while
-    there is news, so that a lost message cannot part them for good.
+    A peer that does not answer becomes suspect; one that stays suspect for
+    `hoisthook.membership.member_table.SUSPECT_SECONDS` is declared dead. Tables whose
+    digests differ are reconciled at random, rarely while there are updates to send, by
+    fetching the buckets that differ. A lost message therefore leaves no lasting difference.
 
     Parameters
     ----------
     table : MemberTable
-        Merged into.
+        Records from peers are merged into it.
     transport : PeerTransport
-        Reaches peers.
+        Sends messages to peers.
     clock : Clock
-        Monotonic.
+        Monotonic clock.
     randomness : Randomness
-        Chooses when to reconcile.
+        Selects seeds, varies the interval and decides when to reconcile.
     seeds : list of Address
-        Whom to ask while no one else is known.
+        Nodes to contact when joining, and while no other node is known.
     interval : float
-        Seconds between two exchanges.
+        Mean seconds between two exchanges.
     """
 
     def __init__(
@@ -76,7 +77,7 @@
         self._randomness = randomness
         self._interval = interval
         self._rounds = 0
-        self._fetching: asyncio.Task[None] | None = None
+        self._fetch_task: asyncio.Task[None] | None = None
         self.seeds = seeds
         self.crashes: CrashEvidence | None = None
         self.configuration_offset: Callable[[], int] = lambda: -1
@@ -86,13 +87,13 @@
         self.failures = 0
 
     async def run(self) -> None:
-        """Exchange until cancelled."""
+        """Run rounds until cancelled."""
         while True:
             await self.round()
             await asyncio.sleep(self._interval * (0.75 + 0.5 * self._randomness.random()))
 
     async def round(self) -> None:
-        """Exchange once with one peer."""
+        """Exchange with a random peer, and where due with a seed and with a suspect."""
         self._rounds += 1
         self.table.expire(self._clock.now())
         peer = self.table.choose_peer()
@@ -103,40 +104,40 @@
             await self._exchange_with(parse_address(peer.address), peer)
         suspected = self.table.any_suspect()
         if suspected is not None and suspected is not peer:
-            # It can refute only what it hears.
+            # A node can refute only a suspicion that it has received.
             await self._exchange_with(parse_address(suspected.address), suspected)
 
     async def leave(self) -> None:
-        """Tell a few peers that this node leaves."""
+        """Announce to a few peers that this node leaves."""
         self.table.update_me(self._clock.now(), status=MemberStatus.LEFT, takes_work=False)
         await self.announce()
 
     async def announce(self) -> None:
-        """Tell several peers at once, without waiting for the next round."""
+        """Exchange with several peers at once, without waiting for the next round."""
         peers: dict[str, Member] = {}
-        for _ in range(FAREWELL_DRAWS):
+        for _ in range(ANNOUNCE_DRAWS):
             peer = self.table.choose_peer()
             if peer is not None:
                 peers[peer.node] = peer
-            if len(peers) == FAREWELL_PEERS:
+            if len(peers) == ANNOUNCE_PEERS:
                 break
         calls = [self._exchange_with(parse_address(p.address), p) for p in peers.values()]
         await asyncio.gather(*calls)
 
     def receive(self, message: Exchange) -> Exchange:
-        """Take in a peer's message and return the answer to it."""
+        """Merge a peer's message and return the answer to it."""
         self._merge(message)
         if message.configuration_offset > self.configuration_offset():
-            self._fetch_soon(message)
+            self._start_fetch(message)
         return self.message_for(message.sender)
 
-    def _fetch_soon(self, message: Exchange) -> None:
-        """Fetch configuration from a peer that has more, one fetch at a time."""
-        if self.on_peer_offset is None or self._fetching is not None:
+    def _start_fetch(self, message: Exchange) -> None:
+        """Start to fetch newer configuration from a peer, one fetch at a time."""
+        if self.on_peer_offset is None or self._fetch_task is not None:
             return
         address = parse_address(message.sender.address)
         fetch = self._fetch(self.on_peer_offset, address, message.configuration_offset)
-        self._fetching = asyncio.get_running_loop().create_task(fetch)
+        self._fetch_task = asyncio.get_running_loop().create_task(fetch)
 
     async def _fetch(self, fetch: OnPeerOffset, address: Address, offset: int) -> None:
         try:
@@ -144,7 +145,7 @@
         except (OSError, TimeoutError, ValueError):
             self.failures += 1
         finally:
-            self._fetching = None
+            self._fetch_task = None
 
     def _choose_seed(self, peer: Member | None) -> Address | None:
         joining = self._rounds <= JOIN_ROUNDS or peer is None
@@ -173,18 +174,18 @@
             if self.on_contact is not None:
                 self.on_contact(begun)
         except (OSError, TimeoutError, ValueError):
-            # A ValueError is a message of another form, as from a later version.
+            # ValueError: the answer has another format, such as that of a later version.
             self.failures += 1
             if peer is not None:
                 self.table.suspect(peer, self._clock.now())
 
     async def _reconcile(self, address: Address) -> None:
-        """Fetch the parts of the peer's table that differ; all of it when joining."""
+        """Fetch the buckets of the peer's table that differ; all of them when joining."""
         buckets: tuple[int, ...] = ()
         if self._rounds > JOIN_ROUNDS:
             theirs = await self._transport.digests(address)
             pairs = enumerate(zip(self.table.digest_by_bucket, theirs, strict=True))
-            buckets = tuple(number for number, (mine, other) in pairs if mine != other)
+            buckets = tuple(number for number, (own, other) in pairs if own != other)
             if not buckets:
                 return
         for member in await self._transport.members(address, buckets[:MAX_BUCKETS]):
@@ -195,18 +196,20 @@
             return False
         if self._rounds <= JOIN_ROUNDS:
             return True
-        share = BUSY_RECONCILE_SHARE if self.table.has_news else IDLE_RECONCILE_SHARE
-        return self._randomness.random() < share
+        probability = (
+            BUSY_RECONCILE_PROBABILITY if self.table.has_updates else IDLE_RECONCILE_PROBABILITY
+        )
+        return self._randomness.random() < probability
 
     def message_for(self, peer: Member | None) -> Exchange:
-        """Return what to tell a peer, or a seed of which nothing is known."""
-        news = self.table.take_news()
-        believed = None if peer is None else self.table.get(peer.node)
-        if believed is not None and believed.status is not MemberStatus.ALIVE:
-            news = (*news, believed)
+        """Return the message for a peer, or for a seed that is not in the table (None)."""
+        updates = self.table.take_updates()
+        known = None if peer is None else self.table.get(peer.node)
+        if known is not None and known.status is not MemberStatus.ALIVE:
+            updates = (*updates, known)
         return Exchange(
             sender=self.table.me,
-            members=news,
+            members=updates,
             configuration_offset=self.configuration_offset(),
             table_digest=self.table.digest,
             crashes=() if self.crashes is None else self.crashes.all_reports(self._clock.now()),
--- a/src/hoisthook/membership/member.py
+++ b/src/hoisthook/membership/member.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other about themselves."""
+"""Member records and the gossip message that carries them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class MemberStatus(Enum):
-    """Whether a node is there, in the eyes of its peers."""
+    """State of a node as its peers see it."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -20,6 +20,7 @@
     DEAD = "dead"
 
 
+# At equal versions the status with the higher rank wins.
 STATUS_RANK = {
     MemberStatus.ALIVE: 0,
     MemberStatus.SUSPECT: 1,
@@ -29,30 +30,30 @@
 
 
 class Member(msgspec.Struct, frozen=True):
-    """One node and the backend server beside it.
+    """One node and its local backend server.
 
     Attributes
     ----------
     node : str
         The node's id.
     incarnation : str
-        Random; names the process.
+        Random id of the node's process.
     version : int
-        Raised by the node itself whenever it says something new.
+        Increased by the node itself with each change of its record.
     address : str
-        Where peers reach it, ``host:port``.
+        Address at which peers reach it, ``host:port``.
     data_centre : str
-        Where it stands.
+        The node's data centre.
     status : MemberStatus
-        Alive unless a peer doubts it.
+        Alive unless a peer reports otherwise or the node leaves.
     backend_server : str
-        Id of the backend server beside it; empty if none has announced itself.
+        Id of the local backend server; empty if none has announced itself.
     service : str
-        What the backend server serves.
+        Service of the backend server.
     slots : int
-        What it can run at once.
+        Requests that the backend server can run at once.
     takes_work : bool
-        False while it drains.
+        Whether the backend server accepts new requests; False while it drains.
     """
 
     node: str
@@ -67,12 +68,12 @@
     takes_work: bool = False
 
     @property
-    def is_gone(self) -> bool:
-        """Return whether it left or was declared dead."""
+    def has_departed(self) -> bool:
+        """Return whether the node has left or was declared dead."""
         return self.status in (MemberStatus.LEFT, MemberStatus.DEAD)
 
     def is_well_formed(self) -> bool:
-        """Return whether ids and address can be used."""
+        """Return whether the node id, the address and the number of slots are valid."""
         try:
             parse_address(self.address)
         except ValueError:
@@ -80,10 +81,10 @@
         return is_name(self.node) and self.slots >= 0
 
     def supersedes(self, other: Member) -> bool:
-        """Return whether this says more than ``other`` about the same node.
+        """Return whether this record replaces ``other``, a record of the same node.
 
-        A higher version wins; at equal versions doubt wins, so that only the
-        node itself, with a higher version, can refute it.
+        A higher version wins. At equal versions the status with the higher rank wins, so
+        that only the node itself can refute a suspicion, with a higher version.
         """
         if self.version != other.version:
             return self.version > other.version
@@ -96,15 +97,15 @@
     Attributes
     ----------
     sender : Member
-        Who sends it.
+        Record of the sending node.
     members : tuple of Member
-        Recent news.
+        Recently changed records.
     configuration_offset : int
         Last configuration record that the sender has applied; -1 for none.
     table_digest : int
-        Digest of the sender's whole table; unequal digests call for a full sync.
+        Digest of the sender's complete table; where digests differ, tables are reconciled.
     crashes : tuple of CrashReport
-        All that the sender knows of work that ended backend servers; nearly always nothing.
+        All reports that the sender has of work that crashed backend servers; nearly always empty.
     """
 
     sender: Member
--- a/src/hoisthook/membership/member_table.py
+++ b/src/hoisthook/membership/member_table.py
@@ -1,4 +1,4 @@
-"""The nodes that this node knows, merged from gossip."""
+"""Table of the known nodes, merged from gossip."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
     from hoisthook.port.clock import Randomness
 
-NEWS_PER_EXCHANGE = 12
+UPDATES_PER_EXCHANGE = 12
 SUSPECT_SECONDS = 1.5
 FORGET_SECONDS = 3600.0
 FORGET_PER_SWEEP = 64
@@ -29,17 +29,17 @@
 
 
 class MemberTable:
-    """Merges what peers say; each node alone speaks for itself.
+    """Merges member records from peers; only a node itself raises the version of its record.
 
-    News is handed on a bounded number of times that grows with the logarithm of
-    the number of members, newest first, `NEWS_PER_EXCHANGE` an exchange.
+    A changed record is sent in a bounded number of exchanges that grows with the logarithm
+    of the number of members, newest first, up to `UPDATES_PER_EXCHANGE` records per exchange.
 
     Parameters
     ----------
     me : Member
-        This node's first word about itself.
+        This node's initial record.
     randomness : Randomness
-        Chooses whom to talk to.
+        Selects the peers for exchanges.
     """
 
     def __init__(self, me: Member, randomness: Randomness) -> None:
@@ -50,13 +50,13 @@
         self._changed_at_by_node: dict[str, float] = {}
         self._by_service: dict[str, dict[str, Member]] = {}
         self._suspects: dict[str, None] = {}
-        self._gone: dict[str, None] = {}
-        self._news: deque[tuple[str, int]] = deque()
+        self._departed: dict[str, None] = {}
+        self._updates: deque[tuple[str, int]] = deque()
         self._digest_by_bucket = [0] * BUCKETS
         self.on_status: Callable[[Member], None] | None = None
-        self._add_digest(me)
-        self._list(me)
-        self._tell(me.node)
+        self._toggle_digest(me)
+        self._add_to_service(me)
+        self._queue_update(me.node)
 
     def __len__(self) -> int:
         return len(self._by_node)
@@ -71,46 +71,46 @@
 
     @property
     def digest(self) -> int:
-        """Return a digest of the table that does not depend on order."""
+        """Return a digest of the table that does not depend on the order of its records."""
         return reduce(xor, self._digest_by_bucket)
 
     @property
     def digest_by_bucket(self) -> tuple[int, ...]:
-        """Return the digests of the `BUCKETS` parts of the table."""
+        """Return the digest of each of the `BUCKETS` buckets of the table."""
         return tuple(self._digest_by_bucket)
 
     @property
-    def has_news(self) -> bool:
-        """Return whether there is news to hand on."""
-        return bool(self._news)
+    def has_updates(self) -> bool:
+        """Return whether there are updates to send."""
+        return bool(self._updates)
 
     def members_of(self, buckets: Collection[int]) -> tuple[Member, ...]:
-        """Return the members in some of the parts, or all if ``buckets`` is empty."""
+        """Return the members in ``buckets``, or all if it is empty."""
         if not buckets:
             return tuple(self._by_node.values())
         return tuple(m for m in self._by_node.values() if _bucket(m.node) in buckets)
 
     def get(self, node: str) -> Member | None:
-        """Return what is known of a node."""
+        """Return the record of a node, or None if it is unknown."""
         return self._by_node.get(node)
 
     def serving(self, service: str) -> dict[str, Member]:
-        """Return the nodes whose backend servers take work for ``service``, by id."""
+        """Return the nodes whose backend servers accept requests for ``service``, by id."""
         return self._by_service.get(service, {})
 
     def update_me(self, now: float, **fields: object) -> None:
-        """Say something new about this node."""
+        """Change fields of this node's own record and raise its version."""
         changed = msgspec.structs.replace(self._me, version=self._me.version + 1, **fields)
         self._me = changed
         self._put(changed, now)
 
     def merge(self, member: Member, now: float) -> bool:
-        """Take in what a peer says.
+        """Merge a record received from a peer.
 
         Returns
         -------
         bool
-            Whether it was news.
+            Whether the table changed.
         """
         if member.node == self._me.node:
             return self._refute(member, now)
@@ -123,7 +123,15 @@
         return True
 
     def suspect(self, member: Member, now: float) -> None:
-        """Note that a node, as it was known when it was called, did not answer."""
+        """Mark a node as suspect that did not answer.
+
+        Parameters
+        ----------
+        member : Member
+            Its record at the time of the call; ignored if the node has another incarnation now.
+        now : float
+            Seconds on a monotonic clock.
+        """
         known = self._by_node.get(member.node)
         if known is None or known.incarnation != member.incarnation:
             return
@@ -131,69 +139,71 @@
             self._put(msgspec.structs.replace(known, status=MemberStatus.SUSPECT), now)
 
     def expire(self, now: float) -> list[Member]:
-        """Declare dead whoever was suspected for too long; forget the long dead.
+        """Declare nodes dead that were suspect for too long; remove those departed long ago.
 
         Returns
         -------
         list of Member
-            Those declared dead now.
+            The nodes that were declared dead by this call.
         """
         dead = []
         for node in list(self._suspects):
             if now - self._changed_at_by_node[node] > SUSPECT_SECONDS:
-                buried = msgspec.structs.replace(self._by_node[node], status=MemberStatus.DEAD)
-                self._put(buried, now)
-                dead.append(buried)
-        # Kept in the order of their going, so the first young one ends the sweep.
-        for node in list(islice(self._gone, FORGET_PER_SWEEP)):
+                declared = msgspec.structs.replace(self._by_node[node], status=MemberStatus.DEAD)
+                self._put(declared, now)
+                dead.append(declared)
+        # In order of departure, so the first recent one ends the sweep.
+        for node in list(islice(self._departed, FORGET_PER_SWEEP)):
             if now - self._changed_at_by_node[node] <= FORGET_SECONDS:
                 break
             self._forget(node)
         return dead
 
     def any_suspect(self) -> Member | None:
-        """Return a node that is suspected, or None."""
+        """Return a suspect node, or None."""
         for node in self._suspects:
             return self._by_node[node]
         return None
 
     def choose_peer(self) -> Member | None:
-        """Return a random node to talk to, now and then one believed dead.
+        """Return a random node for an exchange, occasionally one that was declared dead.
 
-        Talking to the dead heals a parted network: they answer, and refute.
+        Contacting dead nodes ends a network partition: those that answer refute their death.
         """
         if not self._nodes:
             return None
         for _ in range(8):
             node = self._nodes[self._randomness.randrange(len(self._nodes))]
             member = self._by_node[node]
-            if not member.is_gone:
+            if not member.has_departed:
                 return member
             if member.status is MemberStatus.DEAD and self._randomness.random() < 0.2:
                 return member
         return None
 
-    def take_news(self) -> tuple[Member, ...]:
-        """Return the news for one exchange."""
-        news = []
-        for _ in range(min(NEWS_PER_EXCHANGE, len(self._news))):
-            node, left = self._news.popleft()
+    def take_updates(self) -> tuple[Member, ...]:
+        """Return the updates for one exchange, and count them as sent."""
+        updates = []
+        for _ in range(min(UPDATES_PER_EXCHANGE, len(self._updates))):
+            node, sends_left = self._updates.popleft()
             member = self._by_node.get(node)
             if member is None:
                 continue
-            news.append(member)
-            if left > 1:
-                self._news.append((node, left - 1))
-        return tuple(news)
+            updates.append(member)
+            if sends_left > 1:
+                self._updates.append((node, sends_left - 1))
+        return tuple(updates)
 
     def _refute(self, member: Member, now: float) -> bool:
-        mine = self._me
-        doubted = member.status is not MemberStatus.ALIVE or member.incarnation != mine.incarnation
-        if member.version < mine.version or (member.version == mine.version and not doubted):
+        own = self._me
+        contradicts = (
+            member.status is not MemberStatus.ALIVE or member.incarnation != own.incarnation
+        )
+        if member.version < own.version or (member.version == own.version and not contradicts):
             return False
-        if mine.status is MemberStatus.LEFT:
+        if own.status is MemberStatus.LEFT:
             return False
-        self._me = msgspec.structs.replace(mine, version=member.version + 1)
+        self._me = msgspec.structs.replace(own, version=member.version + 1)
         self._put(self._me, now)
         return True
 
@@ -202,49 +212,49 @@
         if known is None:
             self._nodes.append(member.node)
         else:
-            self._add_digest(known)
-            self._unlist(known)
+            self._toggle_digest(known)
+            self._remove_from_service(known)
         self._by_node[member.node] = member
         self._suspects.pop(member.node, None)
-        self._gone.pop(member.node, None)
+        self._departed.pop(member.node, None)
         if member.status is MemberStatus.SUSPECT:
             self._suspects[member.node] = None
-        elif member.is_gone:
-            self._gone[member.node] = None
+        elif member.has_departed:
+            self._departed[member.node] = None
         self._changed_at_by_node[member.node] = now
-        self._add_digest(member)
-        self._list(member)
-        self._tell(member.node)
+        self._toggle_digest(member)
+        self._add_to_service(member)
+        self._queue_update(member.node)
         if self.on_status is not None and (known is None or known.status is not member.status):
             self.on_status(member)
 
     def _forget(self, node: str) -> None:
         member = self._by_node.pop(node)
-        self._gone.pop(node, None)
+        self._departed.pop(node, None)
         self._changed_at_by_node.pop(node, None)
         self._nodes.remove(node)
-        self._add_digest(member)
-        self._unlist(member)
+        self._toggle_digest(member)
+        self._remove_from_service(member)
 
-    def _list(self, member: Member) -> None:
-        if member.is_gone or not member.takes_work or not member.service:
+    def _add_to_service(self, member: Member) -> None:
+        if member.has_departed or not member.takes_work or not member.service:
             return
         self._by_service.setdefault(member.service, {})[member.node] = member
 
-    def _unlist(self, member: Member) -> None:
-        listed = self._by_service.get(member.service)
-        if listed is None:
+    def _remove_from_service(self, member: Member) -> None:
+        members = self._by_service.get(member.service)
+        if members is None:
             return
-        listed.pop(member.node, None)
-        if not listed:
+        members.pop(member.node, None)
+        if not members:
             del self._by_service[member.service]
 
-    def _tell(self, node: str) -> None:
-        times = 3 + len(self._by_node).bit_length()
-        self._news.appendleft((node, times))
+    def _queue_update(self, node: str) -> None:
+        sends = 3 + len(self._by_node).bit_length()
+        self._updates.appendleft((node, sends))
 
-    def _add_digest(self, member: Member) -> None:
-        # Exclusive or both adds a record to the digest and takes it out again.
+    def _toggle_digest(self, member: Member) -> None:
+        # Exclusive or adds a record to the digest, and removes it when applied again.
         text = f"{member.node} {member.incarnation} {member.version} {member.status.value}"
         self._digest_by_bucket[_bucket(member.node)] ^= zlib.crc32(text.encode())
 
--- a/src/hoisthook/membership/poll_tree.py
+++ b/src/hoisthook/membership/poll_tree.py
@@ -1,4 +1,4 @@
-"""Whom each node of a data centre asks for what operators and others have to say."""
+"""Tree by which the nodes of a data centre poll each other for configuration and peer state."""
 
 from __future__ import annotations
 
@@ -10,37 +10,38 @@
 
     from hoisthook.mesh.peer import Peer
 
-# How many nodes ask one. With two readers a data centre of 100 nodes is two questions deep and
-# one of 830 three; each node answers some 13 questions a second at most, however many nodes
-# there are, where two readers that all ask had 31 each of 195 nodes in five data centres.
-CHILDREN = 8
+# With two readers the tree has a depth of 2 for 100 nodes and of 3 for 830. Each node answers at
+# most about 13 polls per second, however many nodes there are; two readers polled by all of 195
+# nodes in five data centres got 31 polls per second each.
+CHILDREN_PER_NODE = 8
 
 
-def ranked(peers: Iterable[Peer]) -> list[Peer]:
-    """Return nodes in the order in which they are asked, the same for all that know them.
+def polling_order(peers: Iterable[Peer]) -> list[Peer]:
+    """Return nodes in the order of their positions in the tree, the same on every node.
 
-    Wide links come first: a configuration of 1,753 routes takes 0.8 s over a link of 5 Mbit/s,
-    and whoever passes it on sends it to several. Where links are equal a hash decides.
+    Nodes with faster links come first: a configuration of 1,753 routes takes 0.8 s over a link of
+    5 Mbit/s, and an inner node sends it to several others. Nodes with equal links are ordered by
+    a hash of their id.
     """
     return sorted(peers, key=lambda peer: (-peer.link_mbps, zlib.crc32(peer.node.encode())))
 
 
-def poll_positions(place: int, readers: int) -> list[int]:
-    """Return the places in the order whose nodes one asks; none for a reader.
+def poll_positions(position: int, readers: int) -> list[int]:
+    """Return the positions of the nodes that a node polls; none for a reader.
 
-    Both stand before the node itself, so that no two nodes ever ask each other, even where their
-    views of who is there differ: what is asked of another leads to a reader in the end. There
-    are two, asked in turn, since the first may be gone.
+    All of them come before the node itself, so that no two nodes ever poll each other, even where
+    their views of the membership differ, and every chain of polls ends at a reader. There are up
+    to two, polled in turn, since the first may be unavailable.
 
     Parameters
     ----------
-    place : int
-        The node's own.
+    position : int
+        The node's own position in `polling_order`.
     readers : int
-        How many read the store.
+        Number of nodes that read the store.
     """
-    if place < readers:
+    if position < readers:
         return []
-    first = (place - readers) // CHILDREN
+    first = (position - readers) // CHILDREN_PER_NODE
     second = first ^ 1
-    return [first, second] if second < place else [first]
+    return [first, second] if second < position else [first]
--- a/src/hoisthook/membership/reader_choice.py
+++ b/src/hoisthook/membership/reader_choice.py
@@ -1,4 +1,4 @@
-"""Which nodes read the platform's log by themselves."""
+"""Selects the nodes that read the platform's log themselves."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 def is_reader(table: MemberTable, count: int) -> bool:
     """Return whether this node is among its data centre's readers.
 
-    Each node decides alone, by the lowest hashes of the nodes it believes alive;
-    where views differ, one reader more or fewer does no harm.
+    Each node decides by itself: the readers are the nodes with the lowest hashes among
+    those it considers alive. Where views differ, one reader more or fewer is harmless.
 
     Parameters
     ----------
     table : MemberTable
-        Who is there.
+        The known nodes.
     count : int
-        Readers per data centre.
+        Number of readers per data centre.
     """
     me = table.me
     nodes = (
--- a/src/hoisthook/membership/store_era.py
+++ b/src/hoisthook/membership/store_era.py
@@ -1,4 +1,4 @@
-"""Which history of the platform's store is the present one."""
+"""Tracks the era, the current history of the platform's store."""
 
 from __future__ import annotations
 
@@ -9,31 +9,31 @@
 
     from hoisthook.port.event_log import EventLog
 
-# Offsets of one history stay below this.
-OFFSETS = 1 << 48
+# Offsets of one era stay below this.
+OFFSETS_PER_ERA = 1 << 48
 
 
 def revision_at(era: int, offset: int) -> int:
-    """Return a place in the store's log as one number that grows with each history.
+    """Return a revision that orders positions in the store's log, by era first.
 
-    A store that comes back from an older copy gives offsets out again, so an offset alone orders
-    nothing: the later of two with the same offset is that of the later history.
+    A store that was restored from an older copy assigns the same offsets again, so offsets alone
+    do not order positions: of two with the same offset, that of the later era is the newer one.
     """
-    return era * OFFSETS + offset
+    return era * OFFSETS_PER_ERA + offset
 
 
 class StoreEra:
-    """The latest history of the store that this node has heard of, from the store or from peers.
+    """The latest era of the store that this node has learned of, from the store or from peers.
 
     Parameters
     ----------
     log : EventLog
-        Gets a line when the store has come back older.
+        Gets an event when the store has regressed to an older state.
 
     Attributes
     ----------
     current : int or None
-        None before anything was heard.
+        The latest known era; None before the first.
     """
 
     def __init__(self, log: EventLog) -> None:
@@ -42,11 +42,11 @@
         self.current: int | None = None
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Have ``listener`` called when the store has come back from an older copy."""
+        """Have ``listener`` called when the store has regressed to an older state."""
         self._listeners.append(listener)
 
     def heard(self, era: int | None) -> None:
-        """Take in an era that an answer of the store, or a peer, tells of."""
+        """Apply an era received from the store or from a peer; earlier ones are ignored."""
         if era is None or (self.current is not None and era <= self.current):
             return
         before = self.current
--- a/src/hoisthook/membership/suspicion.py
+++ b/src/hoisthook/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""Which nodes cannot be reached, as found by several nodes and told to all that ask."""
+"""Which nodes are unreachable, as reported by several nodes and passed on to polling nodes."""
 
 from __future__ import annotations
 
@@ -15,31 +15,31 @@
     from collections.abc import Iterable
     from collections.abc import Iterator
 
-# One node alone may itself be cut off; two that are not each other's neighbours seldom are.
+# A single reporter may itself be cut off from the network; two of them seldom are.
 REPORTERS_NEEDED = 2
-# Findings older than this do not add up: what befalls an instance is found by the nodes of a
-# data centre within a second or two.
-REPORT_LIFE_SECONDS = 5.0
-# How often a finding is told: questions go to the readers in turn, and a suspicion needs two
-# findings at the same one.
-TELLINGS = 3
-# The same finding told on two ways differs in age by the time that the messages took.
-SAME_FINDING_SECONDS = 0.5
+# Older reports do not count towards a suspicion: the nodes of a data centre notice the failure of
+# an instance within a second or two of each other.
+REPORT_TTL_SECONDS = 5.0
+# Sent several times because polls go to the readers in turn, and a suspicion needs two reports at
+# the same reader.
+SENDS_PER_REPORT = 3
+# The age of one report that arrives over two paths differs by the transit time of the messages.
+SAME_REPORT_TOLERANCE_SECONDS = 0.5
 
 
 class ReachabilityReport(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A node that could not be reached, or could be again.
+    """Report that a node could not be reached, or that it could be reached again.
 
     Attributes
     ----------
     node : NodeId
-        Which.
+        The node that the report is about.
     reached : bool
-        Whether it could.
+        Whether it could be reached.
     age : float
-        Seconds since that was found; clocks of instances differ.
+        Seconds since the observation; an age, as the clocks of instances differ.
     reporter : NodeId
-        Who found it; empty where it is the sender.
+        The node that observed it; empty where it is the sender.
     """
 
     node: NodeId
@@ -49,88 +49,93 @@
 
 
 @dataclass(slots=True)
-class _Relayed:
-    """Another node's finding that is to be handed on."""
+class _RelayedReport:
+    """Report of another node that is to be forwarded."""
 
     reached: bool
-    at: float
-    left: int = TELLINGS
+    observed_at: float
+    sends_left: int = SENDS_PER_REPORT
 
 
 class ReachabilityReports:
-    """What this node has found out lately, and what it hands on of others' findings."""
+    """Recent observations of this node, and reports of others that it forwards."""
 
     def __init__(self) -> None:
-        self._found: dict[NodeId, tuple[bool, float]] = {}
-        self._left_by_node: dict[NodeId, int] = {}
-        self._relayed: dict[tuple[NodeId, NodeId], _Relayed] = {}
+        self._observation_by_node: dict[NodeId, tuple[bool, float]] = {}
+        self._sends_left_by_node: dict[NodeId, int] = {}
+        self._relayed_by_reporter_and_node: dict[tuple[NodeId, NodeId], _RelayedReport] = {}
 
     def note(self, node: NodeId, now: float, *, reached: bool) -> None:
-        """Note that a node could not be reached, or that a suspected one could."""
-        self._found[node] = (reached, now)
-        self._left_by_node[node] = TELLINGS
+        """Record that a node could not be reached, or that a suspected one could."""
+        self._observation_by_node[node] = (reached, now)
+        self._sends_left_by_node[node] = SENDS_PER_REPORT
 
-    def relay(self, sender: NodeId, findings: Iterable[ReachabilityReport], now: float) -> None:
-        """Hand on what another node told: it leads to a reader in a few steps.
+    def relay(self, sender: NodeId, reports: Iterable[ReachabilityReport], now: float) -> None:
+        """Queue reports of another node to be forwarded, so that they reach a reader.
 
-        A finding that was handed on already is not handed on again, so that two nodes that tell
-        each other come to an end.
+        A report that was queued before is not queued again, so that two nodes that send to each
+        other do not forward it for ever.
         """
-        for report in findings:
+        for report in reports:
             key = (report.reporter or sender, report.node)
-            at = now - report.age
-            known = self._relayed.get(key)
-            if known is None or at > known.at + SAME_FINDING_SECONDS:
-                self._relayed[key] = _Relayed(report.reached, at)
+            observed_at = now - report.age
+            known = self._relayed_by_reporter_and_node.get(key)
+            if known is None or observed_at > known.observed_at + SAME_REPORT_TOLERANCE_SECONDS:
+                self._relayed_by_reporter_and_node[key] = _RelayedReport(
+                    report.reached, observed_at
+                )
 
     def current(self, now: float) -> list[ReachabilityReport]:
-        """Return what was found lately."""
-        self._found = {
-            node: found
-            for node, found in self._found.items()
-            if found[1] > now - REPORT_LIFE_SECONDS
+        """Return this node's own reports that have not expired."""
+        self._observation_by_node = {
+            node: observation
+            for node, observation in self._observation_by_node.items()
+            if observation[1] > now - REPORT_TTL_SECONDS
         }
         return [
-            ReachabilityReport(node, reached, now - at)
-            for node, (reached, at) in self._found.items()
+            ReachabilityReport(node, reached, now - observed_at)
+            for node, (reached, observed_at) in self._observation_by_node.items()
         ]
 
-    def tell(self, now: float) -> list[ReachabilityReport]:
-        """Return what is to be told to a reader, each finding a few times."""
-        told = [report for report in self.current(now) if report.node in self._left_by_node]
-        for report in told:
-            self._left_by_node[report.node] -= 1
-        self._left_by_node = {
-            node: left for node, left in self._left_by_node.items() if left and node in self._found
+    def take_due(self, now: float) -> list[ReachabilityReport]:
+        """Return the reports for the next poll; each is returned `SENDS_PER_REPORT` times."""
+        due = [report for report in self.current(now) if report.node in self._sends_left_by_node]
+        for report in due:
+            self._sends_left_by_node[report.node] -= 1
+        self._sends_left_by_node = {
+            node: sends_left
+            for node, sends_left in self._sends_left_by_node.items()
+            if sends_left and node in self._observation_by_node
         }
-        told.extend(self._tell_relayed(now))
-        return told
-
-    def _tell_relayed(self, now: float) -> Iterator[ReachabilityReport]:
-        self._relayed = {
-            key: found
-            for key, found in self._relayed.items()
-            if found.at > now - REPORT_LIFE_SECONDS
+        due.extend(self._take_relayed(now))
+        return due
+
+    def _take_relayed(self, now: float) -> Iterator[ReachabilityReport]:
+        self._relayed_by_reporter_and_node = {
+            key: relayed
+            for key, relayed in self._relayed_by_reporter_and_node.items()
+            if relayed.observed_at > now - REPORT_TTL_SECONDS
         }
-        for (reporter, node), found in self._relayed.items():
-            if found.left > 0:
-                found.left -= 1
-                yield ReachabilityReport(node, found.reached, now - found.at, reporter)
+        for (reporter, node), relayed in self._relayed_by_reporter_and_node.items():
+            if relayed.sends_left > 0:
+                relayed.sends_left -= 1
+                yield ReachabilityReport(node, relayed.reached, now - relayed.observed_at, reporter)
 
 
 class SuspicionTable:
-    """What a reader holds of the findings of those that ask it.
+    """Suspected nodes, as a reader derives them from the reports of the nodes that poll it.
 
     Load pattern: a rack, a data centre or all instances lose power and some do not come back.
-    Each node finds each of them out by a request that waits for 100 ms: with 40 of 195 gone and
-    five tries a second that takes a node 40 s, told by others two (both worked out). A suspicion
-    costs a node that is sound no more than the probe that clears it for all.
+    A node that detects each of them by itself spends a request that waits for 100 ms on each:
+    with 40 of 195 unavailable and five tries per second that takes 40 s, with the reports of
+    others 2 s (both calculated). A suspected node that is available costs one probe, which
+    clears it on all nodes.
     """
 
     def __init__(self) -> None:
         self._change_log = ChangeLog()
         self._suspected: set[NodeId] = set()
-        self._reported_at: dict[NodeId, dict[NodeId, float]] = {}
+        self._reports_by_node: dict[NodeId, dict[NodeId, float]] = {}
         self._reached_at: dict[NodeId, float] = {}
 
     @property
@@ -138,58 +143,59 @@
         """Return the revision of the newest change."""
         return self._change_log.revision
 
-    def report(self, reporter: NodeId, findings: Iterable[ReachabilityReport], now: float) -> None:
-        """Take in the findings of one node; taken in twice they count once."""
-        for report in findings:
-            found_at = now - report.age
+    def report(self, reporter: NodeId, reports: Iterable[ReachabilityReport], now: float) -> None:
+        """Apply the reports of one node; a report that is applied twice counts once."""
+        for report in reports:
+            observed_at = now - report.age
             if report.reached:
-                self.reached(report.node, found_at)
+                self.reached(report.node, observed_at)
             else:
                 source = report.reporter or reporter
-                self._report_unreachable(source, report.node, found_at, now)
+                self._report_unreachable(source, report.node, observed_at, now)
 
     def adopt(self, nodes: Iterable[NodeId], now: float) -> list[NodeId]:
-        """Suspect nodes on the word of a table that had the findings; return those taken.
+        """Suspect nodes that another node's table suspects; return those accepted.
 
-        One that was reached a short while ago is not: that word is older.
+        A node that was reached within `REPORT_TTL_SECONDS` is not accepted, as the suspicion may
+        be older than that.
         """
-        taken = [
+        accepted = [
             node
             for node in nodes
-            if self._reached_at.get(node, -math.inf) <= now - REPORT_LIFE_SECONDS
+            if self._reached_at.get(node, -math.inf) <= now - REPORT_TTL_SECONDS
         ]
-        for node in taken:
+        for node in accepted:
             if node not in self._suspected:
                 self._suspected.add(node)
                 self._change_log.note(node)
-        return taken
+        return accepted
 
     def reached(self, node: NodeId, at: float) -> None:
-        """Take in that a node could be reached at some moment."""
+        """Record that a node was reached at time ``at``, and clear it if it was suspected."""
         if at <= self._reached_at.get(node, -math.inf):
             return
         self._reached_at[node] = at
-        self._reported_at.pop(node, None)
+        self._reports_by_node.pop(node, None)
         if node in self._suspected:
             self._suspected.discard(node)
             self._change_log.note(node)
 
     def since(self, revision: int) -> tuple[list[NodeId], list[NodeId]]:
-        """Return the nodes suspected, and those cleared, since a revision."""
+        """Return the nodes that were suspected, and those that were cleared, since a revision."""
         changed = self._change_log.since(revision)
         suspected = [node for node in changed if node in self._suspected]
         return suspected, [node for node in changed if node not in self._suspected]
 
     def _report_unreachable(
-        self, reporter: NodeId, node: NodeId, found_at: float, now: float
+        self, reporter: NodeId, node: NodeId, observed_at: float, now: float
     ) -> None:
-        # A finding is told several times, and may be from before the node was reached again.
-        if node in self._suspected or found_at <= self._reached_at.get(node, -math.inf):
+        # A report is sent several times, and may be from before the node was reached again.
+        if node in self._suspected or observed_at <= self._reached_at.get(node, -math.inf):
             return
-        reported_at = self._reported_at.setdefault(node, {})
-        reported_at[reporter] = found_at
-        recent = [at for at in reported_at.values() if at > now - REPORT_LIFE_SECONDS]
+        observed_at_by_reporter = self._reports_by_node.setdefault(node, {})
+        observed_at_by_reporter[reporter] = observed_at
+        recent = [at for at in observed_at_by_reporter.values() if at > now - REPORT_TTL_SECONDS]
         if len(recent) >= REPORTERS_NEEDED:
-            del self._reported_at[node]
+            del self._reports_by_node[node]
             self._suspected.add(node)
             self._change_log.note(node)
--- a/src/hoisthook/mesh/configuration_watch.py
+++ b/src/hoisthook/mesh/configuration_watch.py
@@ -9,7 +9,7 @@
 from hoisthook.membership.store_era import revision_at
 from hoisthook.result_code import ResultCode
 from hoisthook.traffic.configuration_holder import ConfigurationSource
-from hoisthook.traffic.evacuation_reading import EvacuationReading
+from hoisthook.traffic.evacuation_tracker import EvacuationTracker
 
 if TYPE_CHECKING:
     from hoisthook.membership.store_era import StoreEra
@@ -120,7 +120,7 @@
         self._holder = holder
         self._evacuations = evacuations
         # As of `_offset`, in this node's own reading of the log.
-        self._evacuated = EvacuationReading(evacuation_prefix)
+        self._evacuated = EvacuationTracker(evacuation_prefix)
         self._is_doubted = False
         self._era = era
         self._lease = lease
@@ -233,7 +233,7 @@
 
     async def _read_once(self) -> bool:
         """Read or wait once; return whether there were records."""
-        if self._is_doubted and not self._evacuated.is_doubted(self._clock.now()):
+        if self._is_doubted and not self._evacuated.is_provisional(self._clock.now()):
             self._is_doubted = False
             self._offset = None
         offset = self._offset
@@ -241,7 +241,7 @@
         if offset is None:
             page = await self._store.newest(self._topic)
             self._check_era(page)
-            self._evacuated.take_list(page.records, self._clock.now())
+            self._evacuated.apply_listing(page.records, self._clock.now())
         else:
             following = await self._store.changes(self._topic, offset, self._wait())
             if following is None:
@@ -255,7 +255,7 @@
             if self._offset is None:
                 # Its offsets are not those that were asked for.
                 return False
-            self._evacuated.take_changes(page.records)
+            self._evacuated.apply_changes(page.records)
         self._offset = page.end
         has_records = self._take(page)
         if self._lease.is_bound and not self._is_unread(page):
--- a/src/hoisthook/mesh/ingress.py
+++ b/src/hoisthook/mesh/ingress.py
@@ -17,7 +17,7 @@
 from hoisthook.teams.quota_verdict import OverQuota
 from hoisthook.teams.team import rank_of
 from hoisthook.teams.team_table import logged_digest
-from hoisthook.traffic.part_choice import PartChoice
+from hoisthook.traffic.route_part_selector import RoutePartSelector
 
 if TYPE_CHECKING:
     from hoisthook.adapter.http.server_exchange import ServerExchange
@@ -131,7 +131,7 @@
         self._link_pacer = link_pacer
         self._clock = clock
         self._log = log
-        self._parts = PartChoice()
+        self._parts = RoutePartSelector()
 
     async def handle(self, exchange: ServerExchange) -> None:
         """Serve one request of a caller."""
--- a/src/hoisthook/mesh/peer_sync.py
+++ b/src/hoisthook/mesh/peer_sync.py
@@ -280,7 +280,7 @@
         directory = self._directory
         had = self._had_by_address.get(address, _Had())
         # Only who asks for news is asking a reader, which collects findings.
-        findings = directory.findings.tell(self._clock.now()) if wants_news else []
+        findings = directory.findings.take_due(self._clock.now()) if wants_news else []
         return SyncQuestion(
             directory.me,
             self.version,
--- a/src/hoisthook/mesh/store_readers.py
+++ b/src/hoisthook/mesh/store_readers.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from hoisthook.membership.poll_tree import poll_positions
-from hoisthook.membership.poll_tree import ranked
+from hoisthook.membership.poll_tree import polling_order
 
 if TYPE_CHECKING:
     from hoisthook.identity import DataCentre
@@ -74,7 +74,7 @@
             for view in self._directory.views()
             if view.same_data_centre and (view.is_self or view.away_until <= now)
         }
-        return [near[peer.node] for peer in ranked(view.peer for view in near.values())]
+        return [near[peer.node] for peer in polling_order(view.peer for view in near.values())]
 
     def _readers(self, order: list[PeerView]) -> list[PeerView]:
         now = self._clock.now()
@@ -94,7 +94,7 @@
         return [
             by_node[peer.node]
             for by_node in by_data_centre.values()
-            for peer in ranked(view.peer for view in by_node.values())[: self._count]
+            for peer in polling_order(view.peer for view in by_node.values())[: self._count]
             if not by_node[peer.node].is_self
         ]
 
--- a/src/hoisthook/node/idempotency_handler.py
+++ b/src/hoisthook/node/idempotency_handler.py
@@ -178,7 +178,7 @@
 
     async def _ask_holder(self, exchange: ServerExchange, call: Call, key: Key) -> None:
         holder = self._table.get(key.node)
-        if holder is None or holder.incarnation != key.incarnation or holder.is_gone:
+        if holder is None or holder.incarnation != key.incarnation or holder.has_departed:
             self._deny(exchange, call, ResultCode.HOLDER_GONE)
             return
         address = parse_address(holder.address)
--- a/src/hoisthook/node/node.py
+++ b/src/hoisthook/node/node.py
@@ -262,7 +262,7 @@
         self.follower.on_contact = self.guard.contacted
         self.follower.on_change = self._configuration_changed
         self.gossip.configuration_offset = lambda: self.state.offset
-        self.gossip.on_peer_offset = self.follower.peer_offset
+        self.gossip.on_peer_offset = self.follower.fetch_from_peer
         self._configuration_writer = ConfigurationWriter(self.state, self.follower, self._log)
 
     def _make_path(self) -> None:
--- a/src/hoisthook/traffic/evacuation_reading.py
+++ b/src/hoisthook/traffic/evacuation_tracker.py
@@ -13,10 +13,10 @@
     from hoisthook.port.record_store import KeyedRecord
 
 # What was written in the seconds that a store has lost is written again within this.
-REWRITTEN_SECONDS = 5.0
+REWRITE_GRACE_SECONDS = 5.0
 
 
-class EvacuationReading:
+class EvacuationTracker:
     """Follows the records of evacuations, also where the store comes back from an older copy.
 
     Load pattern: the copy lacks what operators asked for last. An evacuation that is not listed
@@ -37,16 +37,16 @@
 
     def store_regressed(self, now: float) -> None:
         """Doubt what is listed for a while."""
-        self._doubted_until = now + REWRITTEN_SECONDS
+        self._doubted_until = now + REWRITE_GRACE_SECONDS
 
-    def is_doubted(self, now: float) -> bool:
+    def is_provisional(self, now: float) -> bool:
         """Return whether what is listed may lack what was asked for last."""
         return now < self._doubted_until
 
-    def take_list(self, records: Iterable[KeyedRecord], now: float) -> None:
+    def apply_listing(self, records: Iterable[KeyedRecord], now: float) -> None:
         """Take in the newest record of each key; one that was removed is not listed."""
         listed = {data_centre: record for data_centre, record in self._ours(records)}
-        if self.is_doubted(now):
+        if self.is_provisional(now):
             kept = set(self.data_centres)
             known = self._offset_by_data_centre
             kept.update(d for d, record in listed.items() if known.get(d) != record.offset)
@@ -55,7 +55,7 @@
             self.data_centres = set(listed)
         self._offset_by_data_centre.update((d, r.offset) for d, r in listed.items())
 
-    def take_changes(self, records: Iterable[KeyedRecord]) -> None:
+    def apply_changes(self, records: Iterable[KeyedRecord]) -> None:
         """Take in records in the order in which they were written."""
         for data_centre, record in self._ours(records):
             if record.value:
--- a/src/hoisthook/traffic/part_choice.py
+++ b/src/hoisthook/traffic/route_part_selector.py
@@ -11,7 +11,7 @@
     from hoisthook.traffic.route import RoutePart
 
 
-class PartChoice:
+class RoutePartSelector:
     """Smooth weighted round robin, one state a route.
 
     The shares hold over any short run of requests, which a random draw does not
--- a/tests/configuration/test_configuration_writer.py
+++ b/tests/configuration/test_configuration_writer.py
@@ -240,7 +240,7 @@
     log.outage = True
     address = ("127.0.0.1", 1)
     new = seat(log, clock, FakePeers({address: FakePeer(None, here.follower)}))
-    await new.follower.peer_offset(address, here.state.offset)
+    await new.follower.fetch_from_peer(address, here.state.offset)
     assert new.state.snapshot() == here.state.snapshot()
 
 
@@ -253,6 +253,6 @@
     address = ("127.0.0.1", 1)
     behind = FakePeers({address: FakePeer(None, old.follower)})
     ahead = ConfigurationFollower(here.state, log, behind, clock, random.Random(1), retention=9.0)
-    await ahead.peer_offset(address, old.state.offset)
-    await ahead.peer_offset(address, 99)
+    await ahead.fetch_from_peer(address, old.state.offset)
+    await ahead.fetch_from_peer(address, 99)
     assert here.state.service_by_name["a"].timeout_ms == 9
--- a/tests/membership/test_member_table.py
+++ b/tests/membership/test_member_table.py
@@ -27,7 +27,7 @@
     )
 
 
-def make(node: str = "me") -> MemberTable:
+def make_table(node: str = "me") -> MemberTable:
     return MemberTable(member(node), random.Random(1))
 
 
@@ -38,38 +38,38 @@
 
 
 @given(MEMBERS, st.randoms(use_true_random=False))
-def test_order_and_repetition_of_news_do_not_matter(news: list[Member], shuffler) -> None:
-    first, second = make(), make()
-    for each in news:
-        first.merge(each, 0.0)
-    shuffled = [*news, *news]
+def test_order_and_repetition_of_updates_do_not_matter(updates: list[Member], shuffler) -> None:
+    first, second = make_table(), make_table()
+    for update in updates:
+        first.merge(update, 0.0)
+    shuffled = [*updates, *updates]
     shuffler.shuffle(shuffled)
-    for each in shuffled:
-        second.merge(each, 0.0)
+    for update in shuffled:
+        second.merge(update, 0.0)
     assert {m.node: m for m in first} == {m.node: m for m in second}
     assert first.digest == second.digest
 
 
 @given(MEMBERS)
-def test_listed_for_a_service_exactly_while_there_and_taking_work(news: list[Member]) -> None:
-    table = make()
-    for each in news:
-        table.merge(each, 0.0)
-    gone = (MemberStatus.DEAD, MemberStatus.LEFT)
-    expected = {m.node for m in table if m.status not in gone and m.takes_work}
+def test_serves_exactly_while_not_departed_and_taking_work(updates: list[Member]) -> None:
+    table = make_table()
+    for update in updates:
+        table.merge(update, 0.0)
+    departed = (MemberStatus.DEAD, MemberStatus.LEFT)
+    expected = {m.node for m in table if m.status not in departed and m.takes_work}
     assert set(table.serving("svc")) == expected
 
 
-def test_older_word_does_not_undo_a_drain() -> None:
-    table = make()
+def test_older_record_does_not_undo_a_drain() -> None:
+    table = make_table()
     drained = msgspec.structs.replace(member("a", 2), takes_work=False)
     table.merge(drained, 0.0)
     assert not table.merge(member("a", 1), 0.0)
     assert "a" not in table.serving("svc")
 
 
-def test_silent_node_is_suspected_then_dead() -> None:
-    table = make()
+def test_unresponsive_node_is_suspect_then_dead() -> None:
+    table = make_table()
     table.merge(member("a"), 0.0)
     table.suspect(table.get("a"), 1.0)
     assert "a" in table.serving("svc")
@@ -79,49 +79,49 @@
     assert "a" not in table.serving("svc")
 
 
-def test_node_refutes_doubt_about_itself() -> None:
-    table = make()
+def test_node_refutes_suspicion_of_itself() -> None:
+    table = make_table()
     before = table.me.version
     table.merge(member("me", before, MemberStatus.SUSPECT), 0.0)
     assert table.me.status is MemberStatus.ALIVE
     assert table.me.version == before + 1
 
 
-def test_node_outbids_a_higher_version_of_its_former_incarnation() -> None:
-    table = make()
+def test_node_supersedes_a_higher_version_of_its_former_incarnation() -> None:
+    table = make_table()
     table.merge(msgspec.structs.replace(member("me", 50), incarnation="old"), 0.0)
     assert table.me.version == 51
     assert table.me.incarnation == "i-me"
 
 
 def test_leaving_node_does_not_refute() -> None:
-    table = make()
+    table = make_table()
     table.update_me(0.0, status=MemberStatus.LEFT)
     table.merge(member("me", table.me.version, MemberStatus.DEAD), 0.0)
     assert table.me.status is MemberStatus.LEFT
 
 
-def test_news_of_one_exchange_is_bounded_and_runs_dry() -> None:
-    table = make()
+def test_updates_of_one_exchange_are_bounded_and_end() -> None:
+    table = make_table()
     for number in range(100):
         table.merge(member(f"n{number}"), 0.0)
     rounds = 0
-    while news := table.take_news():
-        assert len(news) <= 12
+    while updates := table.take_updates():
+        assert len(updates) <= 12
         rounds += 1
     assert 0 < rounds < 500
 
 
 def test_long_dead_are_forgotten() -> None:
-    table = make()
+    table = make_table()
     table.merge(member("a", 1, MemberStatus.DEAD), 0.0)
     table.expire(4000.0)
     assert table.get("a") is None
     assert len(table) == 1
 
 
-def test_doubt_about_a_former_incarnation_does_not_fall_on_the_new_one() -> None:
-    table = make()
+def test_suspicion_of_a_former_incarnation_does_not_apply_to_the_new_one() -> None:
+    table = make_table()
     table.merge(member("a", 1), 0.0)
     former = table.get("a")
     table.merge(msgspec.structs.replace(member("a", 2), incarnation="new"), 0.0)
--- a/tests/membership/test_pause_guard.py
+++ b/tests/membership/test_pause_guard.py
@@ -8,7 +8,7 @@
     assert not any(guard.check(number * 0.1) for number in range(100))
 
 
-def test_paused_node_is_stale_until_a_contact_begun_after_it_woke() -> None:
+def test_paused_node_is_stale_until_a_contact_begun_after_it_resumed() -> None:
     guard = PauseGuard(0.0)
     assert guard.check(60.0)
     guard.contacted(begun=0.05)
@@ -17,8 +17,8 @@
     assert not guard.check(60.2)
 
 
-def test_node_that_reaches_nobody_goes_on_alone() -> None:
+def test_node_without_contact_resumes_after_a_timeout() -> None:
     guard = PauseGuard(0.0)
     guard.check(60.0)
-    moments = [60.0 + number * 0.1 for number in range(1, 40)]
-    assert not [guard.check(moment) for moment in moments][-1]
+    checked_at = [60.0 + number * 0.1 for number in range(1, 40)]
+    assert not [guard.check(now) for now in checked_at][-1]
--- a/tests/mesh/test_store_era.py
+++ b/tests/mesh/test_store_era.py
@@ -12,7 +12,7 @@
 from hoisthook.identity import DataCentre
 from hoisthook.mesh import configuration_watch
 from hoisthook.mesh import registration
-from hoisthook.traffic import evacuation_reading
+from hoisthook.traffic import evacuation_tracker
 from standin import mesh_store
 from standin.mesh_store import StoreStandin
 from standin.mesh_system import NODES_TOPIC
@@ -26,14 +26,14 @@
 
 ONE = DataCentre("one")
 TWO = DataCentre("two")
-REWRITTEN_SECONDS = 0.8
+REWRITE_GRACE_SECONDS = 0.8
 
 
 @pytest.fixture(autouse=True)
 def short_waits(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(configuration_watch, "MIN_WAIT_SECONDS", 0.2)
     monkeypatch.setattr(configuration_watch, "MAX_WAIT_SECONDS", 0.4)
-    monkeypatch.setattr(evacuation_reading, "REWRITTEN_SECONDS", REWRITTEN_SECONDS)
+    monkeypatch.setattr(evacuation_tracker, "REWRITE_GRACE_SECONDS", REWRITE_GRACE_SECONDS)
     monkeypatch.setattr(registration, "AGAIN_SECONDS", 0.2)
 
 
@@ -69,7 +69,7 @@
     system.store.regress()
     await until_era(system, 2)
     system.evacuate("two")
-    await asyncio.sleep(2 * REWRITTEN_SECONDS)
+    await asyncio.sleep(2 * REWRITE_GRACE_SECONDS)
     await until_evacuated(system, TWO)
     assert len(evacuated_ever(system)) == changes
 
@@ -85,7 +85,7 @@
     system.store.regress()
     await until_era(system, 2)
     system.restore("two")
-    await asyncio.sleep(2 * REWRITTEN_SECONDS)
+    await asyncio.sleep(2 * REWRITE_GRACE_SECONDS)
     await until_evacuated(system)
     assert len(evacuated_ever(system)) == changes
 
--- a/tests/node/test_leaving.py
+++ b/tests/node/test_leaving.py
@@ -269,7 +269,7 @@
         task.cancel()
     system.backend_by_name["b2"].work = 0.1
     b1.gossip.announce = b1.gossip.leave
-    b1.gossip.table.take_news = tuple
+    b1.gossip.table.take_updates = tuple
     b1.local_backend.draining_announced = True
     b1.local_backend._announce()
     holding = [
--- a/tests/traffic/test_route_table.py
+++ b/tests/traffic/test_route_table.py
@@ -6,9 +6,9 @@
 
 from hoisthook.identity import RouteName
 from hoisthook.identity import ServiceName
-from hoisthook.traffic.part_choice import PartChoice
 from hoisthook.traffic.route import Route
 from hoisthook.traffic.route import RoutePart
+from hoisthook.traffic.route_part_selector import RoutePartSelector
 from hoisthook.traffic.route_table import RouteTable
 
 
@@ -67,7 +67,7 @@
 )
 def test_shares_stay_within_one_request_of_the_weights(weights: dict[str, int], count: int) -> None:
     split = route("r", "h", "/", {name: float(weight) for name, weight in weights.items()})
-    choice = PartChoice()
+    choice = RoutePartSelector()
     chosen = [choice.choose(split) for _ in range(count)]
     total = sum(weights.values())
     for name, weight in weights.items():
@@ -75,7 +75,7 @@
 
 
 def test_changed_weights_begin_anew() -> None:
-    choice = PartChoice()
+    choice = RoutePartSelector()
     first = route("r", "h", "/", {"a": 1.0, "b": 1.0})
     second = route("r", "h", "/", {"a": 1.0, "c": 1.0})
     assert {choice.choose(first) for _ in range(2)} == {"a", "b"}
