--- a/src/hoisthook/configuration/__init__.py
+++ b/src/hoisthook/configuration/__init__.py
@@ -1,3 +1,3 @@
-"""Configuration as a fold of the platform's log."""
+"""Service configuration, derived from the records of the platform's log."""
 
 from __future__ import annotations
--- a/src/hoisthook/configuration/configuration_follower.py
+++ b/src/hoisthook/configuration/configuration_follower.py
@@ -1,4 +1,4 @@
-"""Keeps the configuration up to date from the log and from peers."""
+"""Keeps the configuration up to date from the platform's log and from peers."""
 
 from __future__ import annotations
 
@@ -25,35 +25,34 @@
 
 CHANGES_STREAM = "configuration"
 SNAPSHOTS_STREAM = "configuration-snapshots"
-WAIT_SECONDS = 1.0
+LOG_WAIT_SECONDS = 1.0
 RETRY_SECONDS = 0.5
-KEPT_RECORDS = 512
+MAX_RECENT_RECORDS = 512
 SNAPSHOT_EVERY_RECORDS = 1_000
 SNAPSHOT_SHARE_OF_RETENTION = 0.25
 
 
 class ConfigurationFollower:
-    """Applies records in the log's order, whoever delivers them.
+    """Applies records in the order of the log, whether the log or a peer delivers them.
 
-    A record is applied only if it follows the last one applied, so neither an
-    old copy offered by a peer, nor a repeated or reordered one, can take the
-    configuration back. A gap is bridged by a snapshot that is newer than the
-    state, or waited out.
+    A record is applied only if it follows the last one applied. An outdated copy from a
+    peer or a repeated or reordered record therefore never reverts the configuration. A gap
+    is closed by a snapshot that is newer than the state, or by a later read.
 
     Parameters
     ----------
     state : ConfigurationState
-        Applied to.
+        Records are applied to it.
     log : PlatformLog
         The platform's log.
     transport : PeerTransport
-        Reaches peers.
+        Sends messages to peers.
     clock : Clock
-        Monotonic.
+        Monotonic clock.
     randomness : Randomness
         Spreads the writing of snapshots over the readers.
     retention : float
-        Seconds for which the log keeps a record, at least.
+        Minimum time in seconds for which the log keeps a record.
     """
 
     def __init__(
@@ -72,7 +71,7 @@
         self._clock = clock
         self._randomness = randomness
         self._retention = retention
-        self._recent: deque[LogRecord] = deque(maxlen=KEPT_RECORDS)
+        self._recent: deque[LogRecord] = deque(maxlen=MAX_RECENT_RECORDS)
         self._changed = asyncio.Condition()
         self._snapshot_position = 0
         self._snapshot_offset = -1
@@ -83,20 +82,25 @@
         self.log_reachable = False
 
     async def run(self) -> None:
-        """Follow the log while this node is one of its readers."""
+        """Follow the log while this node is a reader; runs until cancelled."""
         while True:
             try:
                 if self.is_reader() or not self._state.loaded:
-                    await self.read_log(wait=WAIT_SECONDS)
+                    await self.read_log(wait=LOG_WAIT_SECONDS)
                     await self.keep_snapshot()
                 else:
-                    await asyncio.sleep(WAIT_SECONDS)
+                    await asyncio.sleep(LOG_WAIT_SECONDS)
             except HoisthookError:
                 self.log_reachable = False
                 await asyncio.sleep(RETRY_SECONDS)
 
     async def read_log(self, *, wait: float = 0.0) -> None:
-        """Apply what the log has beyond the state.
+        """Apply the records of the log that follow the state.
+
+        Parameters
+        ----------
+        wait : float
+            Seconds to wait for a new record if there is none yet.
 
         Raises
         ------
@@ -121,7 +125,15 @@
             self.on_contact(begun)
 
     async def fetch_from_peer(self, address: Address, offset: int) -> None:
-        """Fetch from a peer what it has applied beyond the state."""
+        """Fetch the records that a peer has applied beyond the state.
+
+        Parameters
+        ----------
+        address : Address
+            Address of the peer.
+        offset : int
+            Offset of the last record that the peer has applied.
+        """
         if offset <= self._state.offset:
             return
         page = await self._transport.configuration(address, self._state.offset)
@@ -130,7 +142,7 @@
         await self._apply(page.records)
 
     def page_after(self, offset: int) -> ConfigurationPage:
-        """Return what this node has applied after ``offset``, for a peer."""
+        """Return the records applied after ``offset``, or a snapshot if they are not kept."""
         if not self._state.loaded or offset >= self._state.offset:
             return ConfigurationPage(None, ())
         first = self._recent[0].offset if self._recent else self._state.offset + 1
@@ -157,14 +169,14 @@
                 self._recent.append(record)
                 applied = True
         if applied:
-            await self._tell()
+            await self._notify()
 
     async def _restore(self, snapshot: Snapshot) -> None:
         if self._state.restore(snapshot):
             self._recent.clear()
-            await self._tell()
+            await self._notify()
 
-    async def _tell(self) -> None:
+    async def _notify(self) -> None:
         if self.on_change is not None:
             self.on_change()
         async with self._changed:
@@ -184,7 +196,7 @@
             self._snapshot_position = page.records[-1].offset + 1
 
     async def keep_snapshot(self) -> None:
-        """Write the state back to the log before the records behind it expire."""
+        """Append a snapshot to the log if one is due, before the records that it covers expire."""
         if not self._state.loaded or not self._snapshot_due():
             return
         await self._read_snapshots()
@@ -203,7 +215,7 @@
 
 
 def decode_snapshot(payload: bytes) -> Snapshot | None:
-    """Return the snapshot, or None if it is unreadable."""
+    """Return the decoded snapshot, or None if it cannot be decoded."""
     try:
         return msgspec.json.decode(payload, type=Snapshot)
     except (msgspec.DecodeError, UnicodeDecodeError):
--- a/src/hoisthook/configuration/configuration_state.py
+++ b/src/hoisthook/configuration/configuration_state.py
@@ -1,4 +1,4 @@
-"""The deterministic fold of the configuration stream."""
+"""Configuration state, derived by applying the records of the configuration stream in order."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """What the fold made of one record.
+    """Result of applying one record.
 
     Attributes
     ----------
     offset : int
-        The record's offset, and the new revision if it was applied.
+        The record's offset; an applied record's revision is its offset plus one.
     operation_id : str
-        The operator's id.
+        Id that the operator chose.
     key : str
-        What it changed or tried to.
+        Key that the record changed or tried to change.
     applied : bool
-        Whether it won.
+        Whether the change took effect.
     winner : int
         The key's revision after the record.
     author : str
@@ -48,7 +48,7 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """The fold's whole state after the record at ``offset``."""
+    """Complete state after the record at ``offset``."""
 
     offset: int
     services: tuple[ServiceSpec, ...]
@@ -59,12 +59,11 @@
 
 
 class ConfigurationState:
-    """Applies records in the order of the log; equal prefixes give equal states.
+    """Applies records in the order of the log; equal prefixes of the log give equal states.
 
-    A record takes effect only if its base revision is the key's current one, so
-    the first of two racing changes wins everywhere, and a record that stands in
-    the log twice takes effect once. A record that cannot be read counts as one
-    that changes nothing, on every node alike.
+    A record takes effect only if its base revision is the key's current one. The first of
+    two racing changes therefore wins on every node, and a record that is in the log twice
+    takes effect once. A record that cannot be decoded changes nothing, on any node.
     """
 
     def __init__(self) -> None:
@@ -88,18 +87,18 @@
         Parameters
         ----------
         record : LogRecord
-            Its offset must be the last one's plus one; an earlier one is passed
-            over, as it was applied before.
+            Its offset must be that of the last record plus one; a record with a lower
+            offset is skipped, as it was applied before.
 
         Returns
         -------
         Outcome or None
-            None for a record passed over or unreadable.
+            None for a record that was skipped or cannot be decoded.
 
         Raises
         ------
         ValueError
-            If records between are missing.
+            If records in between are missing.
         """
         if record.offset <= self.offset:
             return None
@@ -113,7 +112,7 @@
         return self._apply_change(record.offset, change)
 
     def snapshot(self) -> Snapshot:
-        """Return the state as a value."""
+        """Return the state as an immutable value."""
         return Snapshot(
             offset=self.offset,
             services=tuple(self.service_by_name[name] for name in sorted(self.service_by_name)),
@@ -124,12 +123,12 @@
         )
 
     def restore(self, snapshot: Snapshot) -> bool:
-        """Take a snapshot if it is newer than the state.
+        """Replace the state by a snapshot if that is newer.
 
         Returns
         -------
         bool
-            Whether it was taken; an older or equal one never is.
+            Whether the state was replaced; an older or equal snapshot is ignored.
         """
         if snapshot.offset <= self.offset:
             return False
@@ -149,17 +148,17 @@
         current = self.revision_by_key.get(record.key, 0)
         applied = record.base_revision == current
         if applied:
-            # Offset 0 is a valid record but 0 means "does not exist" as a revision.
+            # Plus one, as offset 0 is valid but revision 0 means that the key does not exist.
             current = offset + 1
             self.revision_by_key[record.key] = current
-            self._take_effect(record)
+            self._apply_effect(record)
         outcome = Outcome(
             offset, record.operation_id, record.key, applied, current, author=record.author
         )
-        self._remember(outcome)
+        self._record_outcome(outcome)
         return outcome
 
-    def _take_effect(self, record: ChangeRecord) -> None:
+    def _apply_effect(self, record: ChangeRecord) -> None:
         match record.change:
             case PutService(spec=spec):
                 self.service_by_name[spec.name] = spec
@@ -174,7 +173,7 @@
             case SetEvacuation(data_centre=data_centre):
                 self.evacuated.discard(data_centre)
 
-    def _remember(self, outcome: Outcome) -> None:
+    def _record_outcome(self, outcome: Outcome) -> None:
         self.history.append(outcome)
         self.outcome_by_operation[outcome.operation_id] = outcome
         if len(self.history) > HISTORY_LENGTH:
@@ -183,7 +182,7 @@
 
 
 def decode_record(payload: bytes) -> ChangeRecord | None:
-    """Return the record, or None if it is unreadable or breaks a rule."""
+    """Return the decoded record, or None if it cannot be decoded or is invalid."""
     try:
         record = msgspec.json.decode(payload, type=ChangeRecord)
     except (msgspec.DecodeError, UnicodeDecodeError):
--- a/src/hoisthook/configuration/configuration_writer.py
+++ b/src/hoisthook/configuration/configuration_writer.py
@@ -1,4 +1,4 @@
-"""Takes operators' changes and says what became of them."""
+"""Writes operators' changes to the log and reports their outcome."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
     from hoisthook.configuration.configuration_state import Outcome
     from hoisthook.port.platform_log import PlatformLog
 
-SETTLE_SECONDS = 5.0
-# Appends of one change: the first, one after a kept connection that the other end had closed, and
-# one more for an answer lost on the way.
+READ_BACK_TIMEOUT_SECONDS = 5.0
+# Attempts per change: the first, one after a kept-alive connection that the log had closed, and
+# one more after a lost answer.
 MAX_APPENDS = 3
 
 
 class ChangeFailure(msgspec.Struct, frozen=True):
-    """Why a change is not in force.
+    """Reason why a change is not known to be in force.
 
     Attributes
     ----------
     code : ResultCode
-        The numbered reason.
+        Result code of the failure.
     detail : str
-        What exactly.
+        Details for the operator.
     winner : int
-        The key's present revision, after a lost race.
+        The key's current revision if another change won; otherwise 0.
     """
 
     code: ResultCode
@@ -47,23 +47,23 @@
 
 
 class ConfigurationWriter:
-    """Appends a change and answers from the fold, never from the append alone.
+    """Appends a change to the log and answers from the state that results from reading it back.
 
-    "Accepted" is said only when the record has been read back in the log's order
-    and won. An append whose answer was lost is looked for by its operation id; if
-    the log answers and does not have it, it is appended again, which is harmless
-    should the first one arrive after all: a record that stands there twice takes
-    effect once. The operator is told that it is unknown only while the log stays
-    away.
+    A change is accepted only when its record was read back in the order of the log and took
+    effect. After an append whose answer was lost, the record is looked up by its operation
+    id; if the log answers and does not have it, it is appended again. That is safe should
+    the first append arrive later, as a record that is in the log twice takes effect once.
+    The outcome is reported as unknown only while the log is unavailable or appends keep
+    failing.
 
     Parameters
     ----------
     state : ConfigurationState
-        The fold.
+        State derived from the log.
     follower : ConfigurationFollower
         Reads the log.
     log : PlatformLog
-        Appended to.
+        Changes are appended to it.
     """
 
     def __init__(
@@ -74,7 +74,7 @@
         self._log = log
 
     async def submit(self, record: ChangeRecord) -> Result[Outcome, ChangeFailure]:
-        """Put a change in force, or say why not.
+        """Put a change in force, or return why it is not.
 
         Parameters
         ----------
@@ -91,36 +91,36 @@
             return Err(ChangeFailure(ResultCode.SPEC_INVALID, problem))
         known = self._state.outcome_by_operation.get(record.operation_id)
         if known is not None:
-            return _judge(record, known)
+            return _result_of(record, known)
         return await self._append(record)
 
     async def _append(self, record: ChangeRecord) -> Result[Outcome, ChangeFailure]:
         payload = msgspec.json.encode(record)
-        lost = ""
+        append_error = ""
         for _ in range(MAX_APPENDS):
             try:
                 offset = await self._log.append(CHANGES_STREAM, payload)
             except LogUnavailableError as error:
-                return _unavailable(error, lost)
+                return _unavailable(error, append_error)
             except AppendUnknownError as error:
-                lost = error.detail
-                if not await self._read_quietly():
+                append_error = error.detail
+                if not await self._try_read_log():
                     break
                 if record.operation_id in self._state.outcome_by_operation:
                     break
             else:
-                return await self._settle(record, offset)
-        return self._outcome(record, lost)
+                return await self._read_back(record, offset)
+        return self._outcome(record, append_error)
 
-    async def _settle(self, record: ChangeRecord, offset: int) -> Result[Outcome, ChangeFailure]:
-        await self._read_quietly()
-        if not await self._follower.wait_for(offset, SETTLE_SECONDS):
-            detail = f"record {offset} could not be read back"
+    async def _read_back(self, record: ChangeRecord, offset: int) -> Result[Outcome, ChangeFailure]:
+        await self._try_read_log()
+        if not await self._follower.wait_for(offset, READ_BACK_TIMEOUT_SECONDS):
+            detail = f"record {offset} was appended but not read back in time"
             return Err(ChangeFailure(ResultCode.APPEND_UNKNOWN, detail))
-        return self._outcome(record, "the record was passed over")
+        return self._outcome(record, "the record was read back but has no outcome")
 
-    async def _read_quietly(self) -> bool:
-        """Read what the log has; return whether it answered."""
+    async def _try_read_log(self) -> bool:
+        """Read the log; return whether it answered."""
         try:
             await self._follower.read_log()
         except LogUnavailableError:
@@ -131,19 +131,19 @@
         outcome = self._state.outcome_by_operation.get(record.operation_id)
         if outcome is None:
             return Err(ChangeFailure(ResultCode.APPEND_UNKNOWN, detail))
-        return _judge(record, outcome)
+        return _result_of(record, outcome)
 
 
-def _unavailable(error: LogUnavailableError, lost: str) -> Result[Outcome, ChangeFailure]:
-    """Return what is known of a change that the log did not take, after one lost append or none."""
-    if lost:
-        return Err(ChangeFailure(ResultCode.APPEND_UNKNOWN, f"{lost}; then {error.detail}"))
+def _unavailable(error: LogUnavailableError, append_error: str) -> Result[Outcome, ChangeFailure]:
+    """Return the failure for an unavailable log; unknown if an earlier append may yet arrive."""
+    if append_error:
+        return Err(ChangeFailure(ResultCode.APPEND_UNKNOWN, f"{append_error}; then {error.detail}"))
     return Err(ChangeFailure(ResultCode.LOG_UNAVAILABLE, error.detail))
 
 
-def _judge(record: ChangeRecord, outcome: Outcome) -> Result[Outcome, ChangeFailure]:
+def _result_of(record: ChangeRecord, outcome: Outcome) -> Result[Outcome, ChangeFailure]:
     if outcome.key != record.key:
-        detail = f"operation {record.operation_id!r} changed {outcome.key}"
+        detail = f"operation id {record.operation_id!r} was already used for {outcome.key}"
         return Err(ChangeFailure(ResultCode.OPERATION_ID_REUSED, detail))
     if not outcome.applied:
         detail = f"{outcome.key} is at revision {outcome.winner}"
--- a/src/hoisthook/configuration/service_spec.py
+++ b/src/hoisthook/configuration/service_spec.py
@@ -1,4 +1,4 @@
-"""What operators say of one service."""
+"""Configuration of one service."""
 
 from __future__ import annotations
 
@@ -28,24 +28,24 @@
     Attributes
     ----------
     name : str
-        1 to 63 of ``a-z 0-9 -``.
+        1 to 63 characters of ``a-z 0-9 -``.
     operations : tuple of OperationSpec
         The longest matching prefix decides; without a match GET, HEAD and
-        OPTIONS are repeatable and all else is not.
+        OPTIONS are repeatable and other methods are not.
     timeout_ms : int
-        Deadline of a request that names none, and upper bound of one that does.
+        Default and maximum timeout of a request, in milliseconds.
     concurrency_limit : int
         Requests in progress over all backend servers; 0 for no limit.
     concurrency_per_backend_server : int
         Requests in progress at one backend server; 0 for its slots.
     queue_per_backend_server : int
-        Requests that may wait beside one backend server; -1 for as many as its slots.
+        Requests that may wait in the queue of one backend server; -1 for as many as its slots.
     retry_percent : float
-        Retries and hedges together, in percent of the calls; at most 5.
+        Limit of retries and hedges together, in percent of the calls; at most 5.
     hedge : bool
         Whether repeatable requests may be hedged.
     measure_per_second : float
-        Reads of one backend server's load endpoint, at most, per second.
+        Maximum reads per second of the load endpoint of one backend server.
     """
 
     name: str
@@ -71,7 +71,7 @@
         return method in REPEATABLE_METHODS
 
     def problem(self) -> str | None:
-        """Return the first rule that the values break, or None."""
+        """Return the first validation error, or None."""
         if not is_name(self.name):
             return f"name: {self.name!r} is not 1 to 63 of a-z 0-9 -"
         if len(self.operations) > MAX_OPERATIONS:
--- a/src/hoisthook/traffic/__init__.py
+++ b/src/hoisthook/traffic/__init__.py
@@ -1,3 +1,3 @@
-"""What operators say about traffic: routes, services and limits, in versions."""
+"""Traffic configuration set by operators: routes, services, limits and evacuations."""
 
 from __future__ import annotations
--- a/src/hoisthook/traffic/configuration_exchange.py
+++ b/src/hoisthook/traffic/configuration_exchange.py
@@ -1,4 +1,4 @@
-"""Tells other nodes what their configuration lacks, and takes in what they tell."""
+"""Exchanges the traffic configuration with other nodes as deltas between versions."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
 
 
 class ConfigurationDecoder(Protocol):
-    """Reads a configuration as operators publish it."""
+    """Decodes a configuration as operators publish it."""
 
     def __call__(self, raw: bytes) -> TrafficConfiguration | None:
-        """Return the configuration, or None if it cannot be read."""
+        """Return the configuration, or None if it cannot be decoded."""
 
     def assemble(self, parts: ConfigurationParts) -> TrafficConfiguration | None:
-        """Return the configuration of its parts, or None if one cannot be read."""
+        """Return the configuration made of its parts, or None if a part cannot be decoded."""
 
 
 class ConfigurationExchange:
-    """The configuration in force as differences between versions.
+    """Computes deltas of the configuration for other nodes, and applies deltas from them.
 
     Parameters
     ----------
     holder : ConfigurationHolder
-        What is in force; gets what others tell.
+        Holds the configuration in force; gets newer ones from other nodes.
     decode : ConfigurationDecoder
-        Reads it.
+        Decodes configurations.
     log : EventLog
-        Gets a line for a difference that does not fit.
+        Gets an event for a delta that cannot be applied.
     """
 
     def __init__(
@@ -46,14 +46,17 @@
         self._decode = decode
         self._log = log
         self._history = ConfigurationHistory()
-        holder.on_change(lambda configuration: self._history.take(configuration.parts))
+        holder.on_change(lambda configuration: self._history.add_version(configuration.parts))
 
     def since(self, version: int) -> ConfigurationDelta | None:
-        """Return what a node lacks that has a version; None if it lacks nothing."""
+        """Return the delta for a node that has ``version``; None if it needs none."""
         return self._history.since(version)
 
     def take(self, delta: ConfigurationDelta) -> bool:
-        """Put news in force; return whether they fit what is known here."""
+        """Apply a delta; return whether it fits the configuration in force.
+
+        A delta to a version that is not newer is ignored and counts as fitting.
+        """
         if delta.version <= self._holder.version:
             return True
         current = self._holder.current
--- a/src/hoisthook/traffic/configuration_history.py
+++ b/src/hoisthook/traffic/configuration_history.py
@@ -1,4 +1,4 @@
-"""When each part of the configuration last changed, so that others are told only of changes."""
+"""Tracks when each part of the configuration last changed, to compute deltas for other nodes."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
     from hoisthook.traffic.configuration_parts import ConfigurationParts
     from hoisthook.traffic.configuration_parts import PartKey
 
-# Versions from which a difference is told: a storm brings two a second, and whoever is further
-# behind was away for longer and gets the whole.
+# Versions from which a delta can be computed. Bursts of changes bring two versions per second; a
+# node that is further behind gets the complete configuration.
 MAX_VERSIONS = 32
 
 
 class ConfigurationHistory:
-    """The parts of the newest version, with the version that each has had since.
+    """Parts of the newest version, with the version at which each last changed.
 
-    A difference since a version holds all that has changed after it. A version that this node
-    has passed over is answered from the newest one before it that it has had: then the difference
-    holds more than needed, but for a part that was changed and changed back meanwhile, which the
-    digest of the result brings to light.
+    A delta since a version holds all parts that changed after it. Where this node never had that
+    version, the delta is based on the newest earlier version that it had and holds more parts
+    than needed. It may lack a part that was changed and changed back in between; then the digest
+    of the result does not match.
 
-    With 3,700 routes one that has changed is told in 0.3 KB where the whole takes 1,058 KB, or
+    With 3,700 routes a delta of one route takes 0.3 KB, the complete configuration 1,058 KB, or
     104 KB compressed (both encoded).
     """
 
@@ -33,8 +33,8 @@
         self._changed_at: dict[PartKey, int] = {}
         self._removed_at: dict[PartKey, int] = {}
 
-    def take(self, parts: ConfigurationParts) -> None:
-        """Take in a newer version."""
+    def add_version(self, parts: ConfigurationParts) -> None:
+        """Add a newer version and record which parts it changes."""
         before = {} if self._parts is None else self._parts.by_key
         for key, raw in parts.by_key.items():
             if before.get(key) != raw:
@@ -48,17 +48,17 @@
         self._forget_old()
 
     def since(self, version: int) -> ConfigurationDelta | None:
-        """Return what a node lacks that has a version; None if it lacks nothing.
+        """Return the delta for a node that has ``version``; None if it needs none.
 
         Parameters
         ----------
         version : int
-            Of the other node; -1 asks for the whole.
+            Version of the other node; -1 requests the complete configuration.
         """
         parts = self._parts
         if parts is None or version >= parts.version:
             return None
-        base = max((had for had in self._versions if had <= version), default=None)
+        base = max((known for known in self._versions if known <= version), default=None)
         if base is None:
             return ConfigurationDelta(parts.version, parts.digest, parts=parts.by_key)
         return ConfigurationDelta(
--- a/src/hoisthook/traffic/configuration_holder.py
+++ b/src/hoisthook/traffic/configuration_holder.py
@@ -1,4 +1,4 @@
-"""The configuration in force in this process."""
+"""Holds the traffic configuration in force in this process."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 
 class ConfigurationSource(Enum):
-    """Where a configuration was learned."""
+    """Source from which a configuration was received."""
 
     STORE = "store"
     PEER = "peer"
 
 
 class ConfigurationHolder:
-    """Takes configurations from any source and never goes back to an older one.
+    """Accepts configurations from any source and never returns to an older one.
 
     Parameters
     ----------
     log : EventLog
-        Gets a line for each configuration taken.
+        Gets an event for each configuration that comes into force.
     """
 
     def __init__(self, log: EventLog) -> None:
@@ -53,7 +53,7 @@
         Returns
         -------
         bool
-            Whether it was.
+            Whether it was newer.
         """
         before = self.version
         if configuration.version <= before:
--- a/src/hoisthook/traffic/configuration_parts.py
+++ b/src/hoisthook/traffic/configuration_parts.py
@@ -1,4 +1,4 @@
-"""A configuration as the parts that operators published, and what differs between two versions."""
+"""A configuration as the parts that operators published, and the delta between two versions."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 
 import msgspec
 
-# Names a route, a service or the limits within a configuration.
+# Identifies a route, a service or the limits within a configuration.
 PartKey = NewType("PartKey", str)
-# Enough to tell versions of one configuration apart; nobody forges them.
+# Enough to distinguish versions of one configuration; not meant to resist forgery.
 DIGEST_BYTES = 8
 NO_VERSION = -1
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationParts:
-    """One version, part by part as published.
+    """One version of the configuration, as its published parts.
 
     Attributes
     ----------
     version : int
         Increases with each change.
     by_key : dict
-        Each part's bytes.
+        Encoded parts.
     digest : bytes
-        Of all parts, whatever their order.
+        Digest of all parts, independent of their order.
     """
 
     version: int
@@ -41,20 +41,21 @@
 
 
 class ConfigurationDelta(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What turns a version that a node has into a newer one.
+    """Changes that turn an older version of the configuration into a newer one.
 
     Attributes
     ----------
     version : int
         The newer version.
     digest : bytes
-        Of that version, by which a node finds out that the result is not it.
+        Digest of the newer version, by which the receiver checks the result.
     base : int
-        A version at or before that of the node; -1 where the parts are all there are.
+        Version that the changes start from, no later than that of the receiver; -1 where
+        ``parts`` is the complete configuration.
     parts : dict
-        What is new or has changed since the base.
+        Parts that were added or changed since the base.
     removed : list of PartKey
-        What is gone since the base.
+        Parts that were removed since the base.
     """
 
     version: int
@@ -64,7 +65,7 @@
     removed: list[PartKey] = []
 
     def applied_to(self, known: ConfigurationParts | None) -> ConfigurationParts | None:
-        """Return the newer version; None where it does not follow from what is known."""
+        """Return the newer version; None if the delta does not fit the known version."""
         by_key: dict[PartKey, bytes] = {}
         if self.base != NO_VERSION:
             if known is None or known.version < self.base:
--- a/src/hoisthook/traffic/evacuations.py
+++ b/src/hoisthook/traffic/evacuations.py
@@ -1,4 +1,4 @@
-"""Which data centres operators have evacuated."""
+"""Holds the set of data centres that operators have evacuated."""
 
 from __future__ import annotations
 
@@ -14,17 +14,18 @@
 
 
 class Evacuations:
-    """The evacuated data centres, in revisions that never go back.
+    """The evacuated data centres, at a revision that never decreases.
 
-    A revision is a place in the operators' log, in one of its histories: whoever has read the log
-    up to there knows all that was asked before, so of two views the one that reaches further
-    holds, whichever way it came. Backend servers of an evacuated data centre get nothing; what
-    they run goes on to its end, and their own calls go elsewhere.
+    A revision is a position in the operators' log, ordered by era first: a node that has read the
+    log up to there knows all earlier requests. Of two views the one with the higher revision
+    therefore wins, whether it comes from the store or from a peer. Backend servers of an
+    evacuated data centre get no new requests; those that they run are completed, and calls that
+    they make go to other data centres.
 
     Parameters
     ----------
     log : EventLog
-        Gets a line for each change.
+        Gets an event for each change.
     """
 
     def __init__(self, log: EventLog) -> None:
@@ -37,26 +38,26 @@
         return data_centre in self.data_centres
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Have ``listener`` called with each change."""
+        """Have ``listener`` called on each change."""
         self._listeners.append(listener)
 
     def offer(
         self, revision: int, data_centres: Iterable[DataCentre], source: ConfigurationSource
     ) -> bool:
-        """Take in a view unless what is known reaches as far; return whether it was taken."""
+        """Accept a newer view unless it holds the same set; return whether it was accepted."""
         if revision <= self.revision:
             return False
-        wanted = frozenset(data_centres)
-        if wanted == self.data_centres and self.revision >= 0:
-            # The same at a later place in the log: nothing that others would have to be told.
+        evacuated = frozenset(data_centres)
+        if evacuated == self.data_centres and self.revision >= 0:
+            # The same set at a later position in the log: peers need no update.
             return False
-        is_change = wanted != self.data_centres
+        is_change = evacuated != self.data_centres
         self.revision = revision
-        self.data_centres = wanted
+        self.data_centres = evacuated
         if is_change:
             self._log.event(
                 "evacuations_changed",
-                data_centres=sorted(wanted),
+                data_centres=sorted(evacuated),
                 revision=revision,
                 source=source.value,
             )
--- a/src/hoisthook/traffic/route.py
+++ b/src/hoisthook/traffic/route.py
@@ -1,4 +1,4 @@
-"""One route: which requests it takes, where they go, and what binds them."""
+"""A route: the requests that it matches, the services that get them, and their limits."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
     Attributes
     ----------
     service : ServiceName
-        Who takes them.
+        The service that gets the requests.
     weight : float
-        The share, relative to the weights of the other parts.
+        Its share, relative to the weights of the other parts.
     """
 
     service: ServiceName
@@ -43,15 +43,15 @@
     repeatable : bool
         Whether a request may run more than once.
     timeout : float
-        Seconds after which the caller is answered whatever has happened.
+        Seconds after which the caller gets an answer in any case.
     target_latency : float
-        Seconds within which an answer has its full worth.
+        Seconds within which an answer has its full value to the caller.
     priority : int
         Rank; 0 is the most urgent.
     max_attempts : int
-        Backend servers that one request may be sent to, at most.
+        Maximum number of backend servers that one request is sent to.
     public : bool
-        Whether its requests need no team's key where teams are told apart.
+        Whether its requests need no team's key where teams are distinguished.
     """
 
     name: RouteName
--- a/src/hoisthook/traffic/route_part_selector.py
+++ b/src/hoisthook/traffic/route_part_selector.py
@@ -1,4 +1,4 @@
-"""Divides a route's requests among its parts by weight."""
+"""Distributes a route's requests over its parts by weight."""
 
 from __future__ import annotations
 
@@ -12,11 +12,10 @@
 
 
 class RoutePartSelector:
-    """Smooth weighted round robin, one state a route.
+    """Smooth weighted round robin with one state per route.
 
-    The shares hold over any short run of requests, which a random draw does not
-    give. A part that has no room is not replaced by another: the weights are the
-    operators' word.
+    The shares hold over any short sequence of requests, unlike with random selection. A
+    part without capacity is not replaced by another: the weights are set by operators.
     """
 
     def __init__(self) -> None:
--- a/src/hoisthook/traffic/route_table.py
+++ b/src/hoisthook/traffic/route_table.py
@@ -33,9 +33,9 @@
         Parameters
         ----------
         host : str
-            The host that was asked for; a port and upper case are ignored.
+            Host of the request; a port and upper case are ignored.
         path : str
-            Without a query.
+            Path of the request without a query.
         """
         by_prefix = self._by_host.get(_host_name(host))
         if by_prefix is None:
--- a/src/hoisthook/traffic/traffic_configuration.py
+++ b/src/hoisthook/traffic/traffic_configuration.py
@@ -1,4 +1,4 @@
-"""One version of everything that operators say about traffic."""
+"""One version of the traffic configuration."""
 
 from __future__ import annotations
 
@@ -17,18 +17,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceTraits:
-    """What operators say about a service.
+    """Settings of a service.
 
     Attributes
     ----------
     health_path : str
-        Path of its backend servers' health check.
+        Path of the health check of its backend servers.
     max_connections : int
-        Connections that a backend server accepts from all callers together.
+        Maximum number of connections to one backend server, over all callers.
     cold_per_second : float or None
-        Requests a second that a backend server bears while it is cold; None for any number.
+        Requests per second that a backend server can handle during its cold start; None for no
+        limit.
     cold_seconds : float
-        For how long it is cold after its start; 0 if operators do not say.
+        Duration of the cold start in seconds; 0 if operators set none.
     """
 
     health_path: str
@@ -39,18 +40,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientLimits:
-    """Bounds on what a caller may send.
+    """Limits on the requests and connections of a caller.
 
     Attributes
     ----------
     max_head_bytes : int
-        Bytes of a request's head.
+        Maximum size of a request's head.
     max_body_bytes : int
-        Bytes of a request's body.
+        Maximum size of a request's body.
     head_timeout : float
-        Seconds within which a head that has begun must be whole.
+        Seconds from the first byte of a head within which it must be complete.
     idle_timeout : float
-        Seconds for which a connection without a request is kept.
+        Seconds after which a connection without a request is closed.
     """
 
     max_head_bytes: int
@@ -61,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TrafficConfiguration:
-    """Routes, services and limits in force together.
+    """Routes, services and limits of one version.
 
     Attributes
     ----------
@@ -70,13 +71,13 @@
     routes : tuple of Route
         All routes.
     traits_by_service : dict
-        All services.
+        Settings of all services.
     limits : ClientLimits or None
-        None where operators set none.
+        Limits on callers; None where operators set none.
     parts : ConfigurationParts
-        The parts as they were published, to hand on to peers.
+        The parts as they were published, to forward to peers.
     teams : TeamTable
-        Who may ask; empty where teams are not told apart.
+        Teams that may send requests; empty where teams are not distinguished.
     table : RouteTable
         Derived from ``routes``.
     """
--- a/tests/configuration/test_change_matrix.py
+++ b/tests/configuration/test_change_matrix.py
@@ -1,4 +1,4 @@
-"""Every fault at every step of a configuration change."""
+"""Injects every fault at every step of a configuration change."""
 
 from __future__ import annotations
 
@@ -40,8 +40,8 @@
 )
 
 
-class Seat:
-    """One node's part in changes."""
+class ConfigurationNode:
+    """The configuration components of one node."""
 
     def __init__(self, log: FakeLog, clock: FakeClock) -> None:
         self.state = ConfigurationState()
@@ -52,30 +52,30 @@
 
 
 class SteppedLog(FakeLog):
-    """A log that strikes once at a step of the change under test."""
+    """A log that injects a fault once, at one step of the change under test."""
 
     def __init__(self) -> None:
         super().__init__()
         self.step = ""
-        self.strike: Callable[[], Awaitable[None]] | None = None
+        self.inject: Callable[[], Awaitable[None]] | None = None
 
-    async def at(self, step: str) -> None:
-        if step == self.step and self.strike is not None:
-            strike, self.strike = self.strike, None
-            await strike()
+    async def reach(self, step: str) -> None:
+        if step == self.step and self.inject is not None:
+            inject, self.inject = self.inject, None
+            await inject()
 
     async def append(self, stream: str, payload: bytes) -> int:
-        mine = b'"mine"' in payload
-        if mine:
-            await self.at("append")
+        is_under_test = b'"mine"' in payload
+        if is_under_test:
+            await self.reach("append")
         offset = await super().append(stream, payload)
-        if mine:
-            await self.at("appended")
+        if is_under_test:
+            await self.reach("appended")
         return offset
 
     async def read(self, stream: str, offset: int, *, wait: float = 0.0) -> object:
         if stream == CHANGES_STREAM and self.append_count >= 2:
-            await self.at("read back")
+            await self.reach("read back")
         return await super().read(stream, offset, wait=wait)
 
 
@@ -83,8 +83,8 @@
     return ChangeRecord(operation, base, PutService(ServiceSpec("a", timeout_ms=timeout)))
 
 
-def make_strike(log: SteppedLog, clock: FakeClock, fault: str) -> Callable[[], Awaitable[None]]:
-    async def strike() -> None:
+def make_fault(log: SteppedLog, clock: FakeClock, fault: str) -> Callable[[], Awaitable[None]]:
+    async def inject() -> None:
         if "racing operator" in fault:
             await FakeLog.append(log, CHANGES_STREAM, configuration_payload("other", 1, 77))
         if "request lost" in fault:
@@ -96,13 +96,13 @@
         if fault == "record stands twice":
             await FakeLog.append(log, CHANGES_STREAM, configuration_payload("mine", 1, 50))
         if fault == "records expire":
-            keeper = Seat(log, clock)
-            await keeper.follower.read_log()
+            snapshot_writer = ConfigurationNode(log, clock)
+            await snapshot_writer.follower.read_log()
             clock.advance(30.0)
-            await keeper.follower.keep_snapshot()
+            await snapshot_writer.follower.keep_snapshot()
             log.expire(CHANGES_STREAM, 0)
 
-    return strike
+    return inject
 
 
 def configuration_payload(operation: str, base: int, timeout: int) -> bytes:
@@ -111,39 +111,39 @@
 
 @pytest.mark.parametrize("fault", FAULTS)
 @pytest.mark.parametrize("step", STEPS)
-async def test_what_the_operator_is_told_is_true_everywhere_and_for_ever(
+async def test_answer_to_the_operator_holds_on_every_node_and_later(
     monkeypatch: pytest.MonkeyPatch, clock: FakeClock, step: str, fault: str
 ) -> None:
-    monkeypatch.setattr(configuration_writer, "SETTLE_SECONDS", 0.05)
+    monkeypatch.setattr(configuration_writer, "READ_BACK_TIMEOUT_SECONDS", 0.05)
     log = SteppedLog()
-    here = Seat(log, clock)
-    assert isinstance(await here.writer.submit(change("first", 0, 10)), Ok)
-    witness = Seat(log, clock)
-    await witness.follower.read_log()
-    log.step, log.strike = step, make_strike(log, clock, fault)
-    await log.at("before")
-    told = await here.writer.submit(change("mine", 1, 50))
-    await log.at("accepted")
+    writing = ConfigurationNode(log, clock)
+    assert isinstance(await writing.writer.submit(change("first", 0, 10)), Ok)
+    following = ConfigurationNode(log, clock)
+    await following.follower.read_log()
+    log.step, log.inject = step, make_fault(log, clock, fault)
+    await log.reach("before")
+    answer = await writing.writer.submit(change("mine", 1, 50))
+    await log.reach("accepted")
     log.outage = False
     log.lose_answers = log.lose_requests = 0
-    fresh = Seat(log, clock)
-    for seat in (here, witness, fresh):
-        offset = seat.state.offset
-        await seat.follower.read_log()
-        assert seat.state.offset >= offset
-    assert here.state.snapshot() == witness.state.snapshot() == fresh.state.snapshot()
+    fresh = ConfigurationNode(log, clock)
+    for node in (writing, following, fresh):
+        offset = node.state.offset
+        await node.follower.read_log()
+        assert node.state.offset >= offset
+    assert writing.state.snapshot() == following.state.snapshot() == fresh.state.snapshot()
     winner = fresh.state.service_by_name["a"].timeout_ms
     applied = [o.operation_id for o in fresh.state.history if o.applied]
     assert applied.count("mine") + applied.count("other") <= 1
-    if isinstance(told, Ok):
+    if isinstance(answer, Ok):
         assert winner == 50
-    elif told.err_value.code in (ResultCode.LOG_UNAVAILABLE, ResultCode.REVISION_CONFLICT):
+    elif answer.err_value.code in (ResultCode.LOG_UNAVAILABLE, ResultCode.REVISION_CONFLICT):
         assert winner != 50
-    # A repeat with the same operation id tells the final truth and changes nothing more.
-    again = await fresh.writer.submit(change("mine", 1, 50))
-    if isinstance(told, Ok):
-        assert isinstance(again, Ok)
-        assert again.ok_value.winner == told.ok_value.winner
-    if isinstance(again, Err):
-        assert again.err_value.code is ResultCode.REVISION_CONFLICT
-    assert (fresh.state.service_by_name["a"].timeout_ms == 50) == isinstance(again, Ok)
+    # A repeat with the same operation id returns the final outcome and changes nothing more.
+    repeated = await fresh.writer.submit(change("mine", 1, 50))
+    if isinstance(answer, Ok):
+        assert isinstance(repeated, Ok)
+        assert repeated.ok_value.winner == answer.ok_value.winner
+    if isinstance(repeated, Err):
+        assert repeated.err_value.code is ResultCode.REVISION_CONFLICT
+    assert (fresh.state.service_by_name["a"].timeout_ms == 50) == isinstance(repeated, Ok)
--- a/tests/configuration/test_configuration_state.py
+++ b/tests/configuration/test_configuration_state.py
@@ -35,7 +35,7 @@
     return msgspec.json.encode(ChangeRecord(operation, base, change))
 
 
-def fold(payloads: list[bytes]) -> ConfigurationState:
+def apply_all(payloads: list[bytes]) -> ConfigurationState:
     state = ConfigurationState()
     for offset, payload in enumerate(payloads):
         state.apply(LogRecord(offset, payload))
@@ -43,7 +43,7 @@
 
 
 def test_first_of_two_racing_changes_wins() -> None:
-    state = fold([put("1", 0, 5), put("2", 0, 6)])
+    state = apply_all([put("1", 0, 5), put("2", 0, 6)])
     assert state.service_by_name["a"].timeout_ms == 5
     assert [outcome.applied for outcome in state.history] == [True, False]
     assert state.history[1].winner == 1
@@ -51,43 +51,43 @@
 
 def test_record_that_stands_twice_takes_effect_once() -> None:
     payloads = [put("1", 0, 5), put("2", 1, 6), put("1", 0, 5)]
-    state = fold(payloads)
+    state = apply_all(payloads)
     assert state.service_by_name["a"].timeout_ms == 6
     assert len(state.history) == 2
 
 
 def test_unreadable_and_later_versions_change_nothing() -> None:
-    later = msgspec.json.encode({"operation_id": "1", "base_revision": 0, "version": 9})
-    state = fold([b"\xff", later, b"{}"])
+    later_version = msgspec.json.encode({"operation_id": "1", "base_revision": 0, "version": 9})
+    state = apply_all([b"\xff", later_version, b"{}"])
     assert state.offset == 2
     assert state.unreadable == 3
     assert state.service_by_name == {}
 
 
 def test_gap_is_an_error() -> None:
-    state = fold([put("1", 0)])
+    state = apply_all([put("1", 0)])
     with pytest.raises(ValueError, match="does not follow"):
         state.apply(LogRecord(2, put("2", 0)))
 
 
 @given(PAYLOADS)
 def test_equal_prefixes_give_equal_states_also_through_a_snapshot(payloads: list[bytes]) -> None:
-    whole = fold(payloads)
+    complete = apply_all(payloads)
     for cut in range(0, len(payloads) + 1, 7):
-        snapshot = fold(payloads[:cut]).snapshot()
+        snapshot = apply_all(payloads[:cut]).snapshot()
         state = ConfigurationState()
         state.restore(msgspec.json.decode(msgspec.json.encode(snapshot), type=Snapshot))
         for offset in range(cut, len(payloads)):
             state.apply(LogRecord(offset, payloads[offset]))
         if payloads:
-            assert state.snapshot() == whole.snapshot()
+            assert state.snapshot() == complete.snapshot()
 
 
 @given(PAYLOADS, st.lists(st.integers(0, 39), max_size=60))
 def test_never_goes_back_whatever_is_offered(payloads: list[bytes], offers: list[int]) -> None:
-    """Records in any order, repeated, and old snapshots: the offset only grows."""
+    """The offset never decreases with reordered or repeated records and old snapshots."""
     state = ConfigurationState()
-    snapshots = [fold(payloads[:cut]).snapshot() for cut in range(len(payloads) + 1)]
+    snapshots = [apply_all(payloads[:cut]).snapshot() for cut in range(len(payloads) + 1)]
     for offer in offers:
         before = state.offset
         if offer < len(payloads) and offer <= state.offset + 1:
--- a/tests/traffic/test_configuration_spreading.py
+++ b/tests/traffic/test_configuration_spreading.py
@@ -1,4 +1,4 @@
-"""Differences between configurations lead to the same configuration, whatever the way."""
+"""Deltas between versions lead every node to the same configuration."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
 def delta_between(*versions: ConfigurationParts, since: int) -> ConfigurationDelta:
     history = ConfigurationHistory()
     for version in versions:
-        history.take(version)
+        history.add_version(version)
     delta = history.since(since)
     assert delta is not None
     return delta
 
 
-def test_difference_holds_what_has_changed_and_what_is_gone() -> None:
+def test_delta_holds_changed_and_removed_parts() -> None:
     before = parts(3, kept="k", changed="old", gone="g")
     after = parts(4, kept="k", changed="new", added="a")
     delta = delta_between(before, after, since=3)
@@ -50,56 +50,56 @@
     assert applied.by_key == after.by_key
 
 
-def test_node_without_a_configuration_gets_the_whole() -> None:
+def test_node_without_a_configuration_gets_all_parts() -> None:
     delta = delta_between(parts(3, a="1"), since=NO_VERSION)
     assert delta.base == NO_VERSION
     assert delta.applied_to(None) == parts(3, a="1")
 
 
-def test_nothing_is_told_to_who_has_as_much() -> None:
+def test_no_delta_for_a_node_that_is_up_to_date() -> None:
     history = ConfigurationHistory()
-    history.take(parts(3, a="1"))
+    history.add_version(parts(3, a="1"))
     assert history.since(3) is None
     assert history.since(9) is None
 
 
-def test_part_changed_and_changed_back_by_a_version_passed_over_is_found_out() -> None:
-    told = delta_between(parts(3, a="1"), parts(5, a="1", b="2"), since=4)
-    # Whoever asks has version 4, in which the part was another.
-    assert told.applied_to(parts(4, a="x")) is None
+def test_part_changed_and_changed_back_by_a_skipped_version_is_detected() -> None:
+    delta = delta_between(parts(3, a="1"), parts(5, a="1", b="2"), since=4)
+    # The other node has version 4, in which the part differed.
+    assert delta.applied_to(parts(4, a="x")) is None
 
 
-def test_who_is_too_far_behind_gets_the_whole() -> None:
+def test_node_too_far_behind_gets_all_parts() -> None:
     versions = [parts(number, a=str(number)) for number in range(MAX_VERSIONS + 2)]
     assert delta_between(*versions, since=0).base == NO_VERSION
     assert delta_between(*versions, since=MAX_VERSIONS).base == MAX_VERSIONS
 
 
 @given(st.lists(by_keys, min_size=2, max_size=8), st.data())
-def test_any_way_through_any_versions_ends_in_the_newest(
+def test_any_sequence_of_versions_ends_in_the_newest(
     contents: list[dict[PartKey, bytes]], data: st.DataObject
 ) -> None:
-    """A node that takes differences from one that has had other versions, else asks for all."""
+    """A node applies a delta from one that had other versions, or else gets all parts."""
     versions = [ConfigurationParts(number, by_key) for number, by_key in enumerate(contents)]
     newest = versions[-1]
-    had = data.draw(st.sets(st.sampled_from(range(len(versions) - 1))))
+    received = data.draw(st.sets(st.sampled_from(range(len(versions) - 1))))
     history = ConfigurationHistory()
-    for version in [versions[number] for number in sorted(had)] + [newest]:
-        history.take(version)
+    for version in [versions[number] for number in sorted(received)] + [newest]:
+        history.add_version(version)
     known = data.draw(st.sampled_from(versions[:-1]))
     delta = history.since(known.version)
     assert delta is not None
     applied = delta.applied_to(known)
     if applied is None:
-        whole = history.since(NO_VERSION)
-        assert whole is not None
-        applied = whole.applied_to(known)
+        complete = history.since(NO_VERSION)
+        assert complete is not None
+        applied = complete.applied_to(known)
     assert applied is not None
     assert applied.by_key == newest.by_key
 
 
-def test_change_of_one_route_among_many_is_told_in_few_bytes() -> None:
-    """What a large configuration costs each link at each change, 1.17 MB before."""
+def test_change_of_one_route_among_many_takes_few_bytes() -> None:
+    """Sending the complete configuration took 1.17 MB per link and change."""
     routes = [RouteOptions(f"service-{n}", prefix=f"/route-{n}/") for n in range(3700)]
     read = ConfigurationReader(ListLog())
     before = read(configuration(1, *routes))
@@ -108,30 +108,30 @@
     after = read(raw)
     assert before is not None
     assert after is not None
-    difference = encode_message(
+    delta = encode_message(
         SyncReply(configuration=delta_between(before.parts, after.parts, since=1))
     )
-    whole = encode_message(
+    complete = encode_message(
         SyncReply(configuration=delta_between(before.parts, after.parts, since=NO_VERSION))
     )
     assert len(raw) > 1_000_000
-    assert len(difference) < 1_000
-    assert len(whole) < len(raw) / 5
+    assert len(delta) < 1_000
+    assert len(complete) < len(raw) / 5
 
 
 def test_parts_make_the_same_configuration_as_the_record() -> None:
     raw = configuration(1, RouteOptions("shop"), RouteOptions("front", host="b.example"))
     read = ConfigurationReader(ListLog())
-    whole = read(raw)
-    assert whole is not None
-    again = ConfigurationReader(ListLog()).assemble(whole.parts)
-    assert again is not None
-    assert sorted(r.name for r in again.routes) == sorted(r.name for r in whole.routes)
-    assert again.traits_by_service == whole.traits_by_service
-    assert again.limits == whole.limits
+    decoded = read(raw)
+    assert decoded is not None
+    assembled = ConfigurationReader(ListLog()).assemble(decoded.parts)
+    assert assembled is not None
+    assert sorted(r.name for r in assembled.routes) == sorted(r.name for r in decoded.routes)
+    assert assembled.traits_by_service == decoded.traits_by_service
+    assert assembled.limits == decoded.limits
 
 
-def test_unreadable_part_of_a_peer_is_not_believed() -> None:
+def test_unreadable_part_of_a_peer_is_not_applied() -> None:
     log = ListLog()
     assert ConfigurationReader(log).assemble(parts(1, a="{")) is None
     assert log.named("configuration_unreadable")
@@ -139,15 +139,15 @@
 
 @given(st.binary(max_size=200))
 def test_any_bytes_are_a_message_or_refused(data: bytes) -> None:
-    for kind in (b"", b"p", b"z"):
+    for encoding in (b"", b"p", b"z"):
         try:
-            decode_message(kind + data, SyncReply)
+            decode_message(encoding + data, SyncReply)
         except msgspec.DecodeError:
             continue
 
 
 @pytest.mark.parametrize("cut", [1, 10, 50])
 def test_message_cut_short_is_refused(cut: int) -> None:
-    whole = encode_message(SyncReply(source="x" * 1000))
+    message = encode_message(SyncReply(source="x" * 1000))
     with pytest.raises(msgspec.DecodeError):
-        decode_message(whole[:-cut], SyncReply)
+        decode_message(message[:-cut], SyncReply)
--- a/tests/traffic/test_evacuation_tracker.py
+++ b/tests/traffic/test_evacuation_tracker.py
@@ -1,4 +1,4 @@
-"""An evacuation in force does not fall back with a store that has lost its last seconds."""
+"""Evacuations stay in force when the store regresses and has lost its latest records."""
 
 from __future__ import annotations
 
@@ -9,64 +9,64 @@
 from hoisthook.traffic.evacuation_tracker import EvacuationTracker
 from standin.mesh_system import ListLog
 
-ASKED = b"{}"
+REQUEST = b"{}"
 
 
-def record(data_centre: str, offset: int, value: bytes = ASKED) -> KeyedRecord:
+def record(data_centre: str, offset: int, value: bytes = REQUEST) -> KeyedRecord:
     return KeyedRecord(f"evacuate/{data_centre}", value, offset)
 
 
-def test_what_is_listed_and_changed_holds() -> None:
-    reading = EvacuationTracker("evacuate/")
-    reading.apply_listing([record("one", 3), KeyedRecord("config", b"{}", 4)], 0.0)
-    assert reading.data_centres == {"one"}
-    reading.apply_changes([record("two", 5), record("one", 6, b"")])
-    assert reading.data_centres == {"two"}
-    reading.apply_listing([], 1.0)
-    assert reading.data_centres == set()
+def test_listings_and_changes_are_applied() -> None:
+    tracker = EvacuationTracker("evacuate/")
+    tracker.apply_listing([record("one", 3), KeyedRecord("config", b"{}", 4)], 0.0)
+    assert tracker.data_centres == {"one"}
+    tracker.apply_changes([record("two", 5), record("one", 6, b"")])
+    assert tracker.data_centres == {"two"}
+    tracker.apply_listing([], 1.0)
+    assert tracker.data_centres == set()
 
 
 def test_lost_evacuation_stays_until_it_is_written_again() -> None:
-    reading = EvacuationTracker("evacuate/")
-    reading.apply_listing([record("one", 3)], 0.0)
-    reading.store_regressed(10.0)
-    reading.apply_listing([], 10.1)
-    assert reading.data_centres == {"one"}
-    reading.apply_changes([record("one", 2)])
-    reading.apply_listing([record("one", 2)], 10.0 + REWRITE_GRACE_SECONDS)
-    assert reading.data_centres == {"one"}
-
-
-def test_lost_restoration_is_not_undone() -> None:
-    reading = EvacuationTracker("evacuate/")
-    reading.apply_listing([record("one", 3)], 0.0)
-    reading.apply_changes([record("one", 7, b"")])
-    reading.store_regressed(10.0)
-    reading.apply_listing([record("one", 3)], 10.1)
-    assert reading.data_centres == set()
-
-
-def test_new_evacuation_is_in_force_at_once_also_in_doubt() -> None:
-    reading = EvacuationTracker("evacuate/")
-    reading.apply_listing([record("one", 3)], 0.0)
-    reading.apply_changes([record("one", 7, b"")])
-    reading.store_regressed(10.0)
-    reading.apply_listing([record("one", 5), record("two", 6)], 10.1)
-    assert reading.data_centres == {"one", "two"}
-
-
-def test_restoration_after_the_return_holds_at_once_and_the_list_after_the_doubt() -> None:
-    reading = EvacuationTracker("evacuate/")
-    reading.apply_listing([record("one", 3), record("two", 4)], 0.0)
-    reading.store_regressed(10.0)
-    reading.apply_listing([record("one", 3)], 10.1)
-    reading.apply_changes([record("one", 4, b"")])
-    assert reading.data_centres == {"two"}
-    reading.apply_listing([], 10.0 + REWRITE_GRACE_SECONDS)
-    assert reading.data_centres == set()
-
-
-def test_a_later_history_goes_before_any_offset_of_an_earlier_one() -> None:
+    tracker = EvacuationTracker("evacuate/")
+    tracker.apply_listing([record("one", 3)], 0.0)
+    tracker.store_regressed(10.0)
+    tracker.apply_listing([], 10.1)
+    assert tracker.data_centres == {"one"}
+    tracker.apply_changes([record("one", 2)])
+    tracker.apply_listing([record("one", 2)], 10.0 + REWRITE_GRACE_SECONDS)
+    assert tracker.data_centres == {"one"}
+
+
+def test_evacuation_whose_end_was_lost_is_not_started_again() -> None:
+    tracker = EvacuationTracker("evacuate/")
+    tracker.apply_listing([record("one", 3)], 0.0)
+    tracker.apply_changes([record("one", 7, b"")])
+    tracker.store_regressed(10.0)
+    tracker.apply_listing([record("one", 3)], 10.1)
+    assert tracker.data_centres == set()
+
+
+def test_new_evacuation_is_in_force_at_once_also_while_listings_are_provisional() -> None:
+    tracker = EvacuationTracker("evacuate/")
+    tracker.apply_listing([record("one", 3)], 0.0)
+    tracker.apply_changes([record("one", 7, b"")])
+    tracker.store_regressed(10.0)
+    tracker.apply_listing([record("one", 5), record("two", 6)], 10.1)
+    assert tracker.data_centres == {"one", "two"}
+
+
+def test_end_of_an_evacuation_holds_at_once_and_the_listing_after_the_grace_period() -> None:
+    tracker = EvacuationTracker("evacuate/")
+    tracker.apply_listing([record("one", 3), record("two", 4)], 0.0)
+    tracker.store_regressed(10.0)
+    tracker.apply_listing([record("one", 3)], 10.1)
+    tracker.apply_changes([record("one", 4, b"")])
+    assert tracker.data_centres == {"two"}
+    tracker.apply_listing([], 10.0 + REWRITE_GRACE_SECONDS)
+    assert tracker.data_centres == set()
+
+
+def test_later_era_has_a_higher_revision_than_any_offset_of_an_earlier_one() -> None:
     assert revision_at(2, 0) > revision_at(1, 10**12) > revision_at(1, 5) > -1
 
 
@@ -75,8 +75,8 @@
     era = StoreEra(log)
     changes: list[int | None] = []
     era.on_change(lambda: changes.append(era.current))
-    for heard in (None, 3, 3, 2, 4, None, 5, 4):
-        era.heard(heard)
+    for received in (None, 3, 3, 2, 4, None, 5, 4):
+        era.heard(received)
     assert changes == [4, 5]
     assert era.current == 5
     assert len(log.named("store_came_back_older")) == 2
--- a/tests/traffic/test_route_table.py
+++ b/tests/traffic/test_route_table.py
@@ -53,11 +53,11 @@
 
 @given(st.lists(segments, max_size=6, unique_by=tuple), segments)
 def test_match_agrees_with_trying_every_prefix(prefixes: list[list[str]], path: list[str]) -> None:
-    texts = sorted({"/" + "".join(f"{s}/" for s in prefix) for prefix in prefixes})
-    table = RouteTable(route(text, "h", text) for text in texts)
-    asked = "/" + "/".join(path)
-    best = max((t for t in texts if asked.startswith(t)), key=len, default=None)
-    found = table.match("h", asked)
+    prefix_paths = sorted({"/" + "".join(f"{s}/" for s in prefix) for prefix in prefixes})
+    table = RouteTable(route(prefix_path, "h", prefix_path) for prefix_path in prefix_paths)
+    requested = "/" + "/".join(path)
+    best = max((p for p in prefix_paths if requested.startswith(p)), key=len, default=None)
+    found = table.match("h", requested)
     assert (found and found.path_prefix) == best
 
 
@@ -67,16 +67,16 @@
 )
 def test_shares_stay_within_one_request_of_the_weights(weights: dict[str, int], count: int) -> None:
     split = route("r", "h", "/", {name: float(weight) for name, weight in weights.items()})
-    choice = RoutePartSelector()
-    chosen = [choice.choose(split) for _ in range(count)]
+    selector = RoutePartSelector()
+    chosen = [selector.choose(split) for _ in range(count)]
     total = sum(weights.values())
     for name, weight in weights.items():
         assert abs(chosen.count(ServiceName(name)) - count * weight / total) < len(weights)
 
 
 def test_changed_weights_begin_anew() -> None:
-    choice = RoutePartSelector()
+    selector = RoutePartSelector()
     first = route("r", "h", "/", {"a": 1.0, "b": 1.0})
     second = route("r", "h", "/", {"a": 1.0, "c": 1.0})
-    assert {choice.choose(first) for _ in range(2)} == {"a", "b"}
-    assert {choice.choose(second) for _ in range(2)} == {"a", "c"}
+    assert {selector.choose(first) for _ in range(2)} == {"a", "b"}
+    assert {selector.choose(second) for _ in range(2)} == {"a", "c"}
