--- a/src/hoisthook/membership/member_table.py
+++ b/src/hoisthook/membership/member_table.py
@@ -168,7 +168,8 @@
     def choose_peer(self) -> Member | None:
         """Return a random node for an exchange, occasionally one that was declared dead.
 
-        Contacting dead nodes ends a network partition: those that answer refute their death.
+        Contacting dead nodes lets both sides rejoin after a network partition: nodes that are
+        alive answer and refute the dead status.
         """
         if not self._nodes:
             return None
--- a/src/hoisthook/membership/suspicion.py
+++ b/src/hoisthook/membership/suspicion.py
@@ -15,7 +15,7 @@
     from collections.abc import Iterable
     from collections.abc import Iterator
 
-# A single reporter may itself be cut off from the network; two of them seldom are.
+# A single reporter may itself be cut off from the network; two that are not neighbours seldom are.
 REPORTERS_NEEDED = 2
 # Older reports do not count towards a suspicion: the nodes of a data centre notice the failure of
 # an instance within a second or two of each other.
@@ -73,8 +73,8 @@
     def relay(self, sender: NodeId, reports: Iterable[ReachabilityReport], now: float) -> None:
         """Queue reports of another node to be forwarded, so that they reach a reader.
 
-        A report that was queued before is not queued again, so that two nodes that send to each
-        other do not forward it for ever.
+        A report that was queued before is not queued again, so that two nodes that forward to
+        each other do not send it for ever.
         """
         for report in reports:
             key = (report.reporter or sender, report.node)
@@ -156,8 +156,8 @@
     def adopt(self, nodes: Iterable[NodeId], now: float) -> list[NodeId]:
         """Suspect nodes that another node's table suspects; return those accepted.
 
-        A node that was reached within `REPORT_TTL_SECONDS` is not accepted, as the suspicion may
-        be older than that.
+        A node that was reached within `REPORT_TTL_SECONDS` is not accepted, as the suspicion is
+        from before that.
         """
         accepted = [
             node
--- a/src/hoisthook/traffic/configuration_history.py
+++ b/src/hoisthook/traffic/configuration_history.py
@@ -30,19 +30,19 @@
     def __init__(self) -> None:
         self._parts: ConfigurationParts | None = None
         self._versions: list[int] = []
-        self._changed_at: dict[PartKey, int] = {}
-        self._removed_at: dict[PartKey, int] = {}
+        self._changed_version_by_key: dict[PartKey, int] = {}
+        self._removed_version_by_key: dict[PartKey, int] = {}
 
     def add_version(self, parts: ConfigurationParts) -> None:
         """Add a newer version and record which parts it changes."""
         before = {} if self._parts is None else self._parts.by_key
         for key, raw in parts.by_key.items():
             if before.get(key) != raw:
-                self._changed_at[key] = parts.version
-                self._removed_at.pop(key, None)
+                self._changed_version_by_key[key] = parts.version
+                self._removed_version_by_key.pop(key, None)
         for key in before.keys() - parts.by_key.keys():
-            del self._changed_at[key]
-            self._removed_at[key] = parts.version
+            del self._changed_version_by_key[key]
+            self._removed_version_by_key[key] = parts.version
         self._parts = parts
         self._versions.append(parts.version)
         self._forget_old()
@@ -65,13 +65,19 @@
             parts.version,
             parts.digest,
             base,
-            {key: parts.by_key[key] for key, at in self._changed_at.items() if at > base},
-            [key for key, at in self._removed_at.items() if at > base],
+            {
+                key: parts.by_key[key]
+                for key, changed in self._changed_version_by_key.items()
+                if changed > base
+            },
+            [key for key, removed in self._removed_version_by_key.items() if removed > base],
         )
 
     def _forget_old(self) -> None:
         if len(self._versions) <= MAX_VERSIONS:
             return
         oldest = self._versions.pop(0)
-        for key in [key for key, at in self._removed_at.items() if at <= oldest]:
-            del self._removed_at[key]
+        for key in [
+            key for key, removed in self._removed_version_by_key.items() if removed <= oldest
+        ]:
+            del self._removed_version_by_key[key]
