--- a/src/hoisthook/membership/poll_tree.py
+++ b/src/hoisthook/membership/poll_tree.py
@@ -19,9 +19,9 @@
 def polling_order(peers: Iterable[Peer]) -> list[Peer]:
     """Return nodes in the order of their positions in the tree, the same on every node.
 
-    Nodes with faster links come first: a configuration of 1,753 routes takes 0.8 s over a link of
-    5 Mbit/s, and an inner node sends it to several others. Nodes with equal links are ordered by
-    a hash of their id.
+    Wide links come first: a configuration of 1,753 routes takes 0.8 s over a link of 5 Mbit/s,
+    and an inner node sends it to several others. Nodes with equal links are ordered by a hash of
+    their id.
     """
     return sorted(peers, key=lambda peer: (-peer.link_mbps, zlib.crc32(peer.node.encode())))
 
@@ -36,9 +36,9 @@
     Parameters
     ----------
     position : int
-        The node's own position in `polling_order`.
+        The node's own.
     readers : int
-        Number of nodes that read the store.
+        How many read the store.
     """
     if position < readers:
         return []
--- a/tests/traffic/test_evacuation_tracker.py
+++ b/tests/traffic/test_evacuation_tracker.py
@@ -16,7 +16,7 @@
     return KeyedRecord(f"evacuate/{data_centre}", value, offset)
 
 
-def test_listings_and_changes_are_applied() -> None:
+def test_what_is_listed_and_changed_holds() -> None:
     tracker = EvacuationTracker("evacuate/")
     tracker.apply_listing([record("one", 3), KeyedRecord("config", b"{}", 4)], 0.0)
     assert tracker.data_centres == {"one"}
@@ -37,7 +37,7 @@
     assert tracker.data_centres == {"one"}
 
 
-def test_evacuation_whose_end_was_lost_is_not_started_again() -> None:
+def test_lost_restoration_is_not_undone() -> None:
     tracker = EvacuationTracker("evacuate/")
     tracker.apply_listing([record("one", 3)], 0.0)
     tracker.apply_changes([record("one", 7, b"")])
@@ -66,7 +66,7 @@
     assert tracker.data_centres == set()
 
 
-def test_later_era_has_a_higher_revision_than_any_offset_of_an_earlier_one() -> None:
+def test_a_later_history_goes_before_any_offset_of_an_earlier_one() -> None:
     assert revision_at(2, 0) > revision_at(1, 10**12) > revision_at(1, 5) > -1
 
 
@@ -75,8 +75,8 @@
     era = StoreEra(log)
     changes: list[int | None] = []
     era.on_change(lambda: changes.append(era.current))
-    for received in (None, 3, 3, 2, 4, None, 5, 4):
-        era.heard(received)
+    for heard in (None, 3, 3, 2, 4, None, 5, 4):
+        era.heard(heard)
     assert changes == [4, 5]
     assert era.current == 5
     assert len(log.named("store_came_back_older")) == 2
