--- a/src/hoisthook/__main__.py
+++ b/src/hoisthook/__main__.py
@@ -1,4 +1,4 @@
-"""Starts the command line."""
+"""Entry point of the command line interface."""
 
 from __future__ import annotations
 
--- a/src/hoisthook/background_tasks.py
+++ b/src/hoisthook/background_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that nobody waits for."""
+"""Fire-and-forget tasks that are cancelled with their owner."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 
 class BackgroundTasks:
-    """Keeps tasks from being collected while they run, and ends them with their owner."""
+    """Holds references to running tasks, so that they are not garbage collected, until closed."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[None]] = set()
 
     def start(self, coroutine: Coroutine[object, object, None]) -> None:
-        """Run some work beside the caller."""
+        """Run a coroutine concurrently with the caller."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def close(self) -> None:
-        """Cancel what still runs."""
+        """Cancel the tasks that still run."""
         for task in self._tasks:
             task.cancel()
--- a/src/hoisthook/exceptions.py
+++ b/src/hoisthook/exceptions.py
@@ -1,4 +1,4 @@
-"""Exceptions that cross module borders."""
+"""Exceptions that are raised in one module and handled in another."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
     Parameters
     ----------
     code : ResultCode
-        The numbered result code.
+        Numbered result code.
     detail : str
-        What exactly was wrong, on one line.
+        Description of the failure, on one line.
     """
 
     def __init__(self, code: ResultCode, detail: str) -> None:
@@ -30,19 +30,19 @@
 
 
 class LogUnavailableError(HoisthookError):
-    """The platform's log certainly did not take the record, or cannot be read."""
+    """The platform's log definitely did not accept the record, or cannot be read."""
 
 
 class AppendUnknownError(HoisthookError):
-    """The platform's log may or may not have taken the record."""
+    """The platform's log may or may not have accepted the record."""
 
 
 class StoreUnavailableError(HoisthookError):
-    """The platform's store gave no usable answer."""
+    """The platform's store did not answer, or its answer is unusable."""
 
 
 class BrokenExchangeError(Exception):
-    """An HTTP exchange ended before its message was whole."""
+    """An HTTP exchange failed before its message was complete."""
 
 
 class UnreachableError(Exception):
--- a/src/hoisthook/identity.py
+++ b/src/hoisthook/identity.py
@@ -1,4 +1,4 @@
-"""Typed identifiers."""
+"""Types of identifiers, and the parsing of names and addresses."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
 
 
 def is_name(text: str) -> bool:
-    """Return whether ``text`` is a valid identifier: 1 to 63 of ``a-z 0-9 -``."""
+    """Return whether ``text`` is a valid name: 1 to 63 of ``a-z 0-9 -``, no hyphen at the ends."""
     return NAME_PATTERN.fullmatch(text) is not None
 
 
 def parse_address(text: str) -> Address:
-    """Parse ``"127.0.0.1:80"``.
+    """Parse an address such as ``"127.0.0.1:80"``.
 
     Raises
     ------
     ValueError
-        If the text is no ``host:port`` with a port from 0 to 65535.
+        If the text is not ``host:port`` with a port from 0 to 65535.
     """
     host, separator, port = text.rpartition(":")
     if not separator or not host:
@@ -46,5 +46,5 @@
 
 
 def format_address(address: Address) -> str:
-    """Return ``host:port``."""
+    """Return an address as ``host:port``."""
     return f"{address[0]}:{address[1]}"
--- a/src/hoisthook/measure/__init__.py
+++ b/src/hoisthook/measure/__init__.py
@@ -1,3 +1,3 @@
-"""The budget for measuring load and health."""
+"""Rate-limited reads of a backend server's load and health."""
 
 from __future__ import annotations
--- a/src/hoisthook/measure/measurer.py
+++ b/src/hoisthook/measure/measurer.py
@@ -1,4 +1,4 @@
-"""Reads the load endpoint of the backend server beside, within the budget."""
+"""Reads the load endpoint of the local backend server within the budget."""
 
 from __future__ import annotations
 
@@ -25,28 +25,33 @@
 
 
 class LoadReading(msgspec.Struct):
-    """What a backend server's load endpoint says."""
+    """Answer of a backend server's load endpoint."""
 
     active: int
     healthy: bool = True
 
 
 class Measurer:
-    """Learns what passive observation cannot: work that came another way.
+    """Measures foreign load: requests that a backend server runs and that did not pass its node.
 
-    What a reading says is old when it arrives and may mislead, so it can take
-    away at most half of the slots.
+    A reading is out of date when it arrives and may be wrong, so foreign load
+    can occupy at most `MAX_FOREIGN_SHARE` of the slots.
 
     Parameters
     ----------
     local_backend : LocalBackend
-        The backend server's side; its ``foreign_load`` is set here.
+        The local backend server, whose ``foreign_load`` is set.
     pool : ClientPool
         Connections to the backend server.
     budget : MeasureBudget
-        The hard bound.
+        Limits the rate of reads.
     clock : Clock
-        Monotonic.
+        Monotonic clock.
+
+    Attributes
+    ----------
+    path : str
+        Path of the load endpoint; empty if the backend server has none.
     """
 
     def __init__(
@@ -60,7 +65,7 @@
 
     @property
     def budget(self) -> MeasureBudget:
-        """Return the budget, for metrics."""
+        """Return the budget, whose totals are exported as metrics."""
         return self._budget
 
     async def run(self) -> None:
@@ -76,7 +81,7 @@
                 await self.read()
 
     async def read(self) -> None:
-        """Read once; a read that fails teaches nothing."""
+        """Read once; a failed read is counted and otherwise ignored."""
         started = self._clock.now()
         running = self._local_backend.gate.running
         request = encode_request_head(
@@ -102,7 +107,7 @@
             while data := await connection.body.read():
                 body += data
                 if len(body) > MAX_BODY_BYTES:
-                    raise BrokenExchangeError("load reading too large")
+                    raise BrokenExchangeError("load reading exceeds the size limit")
         finally:
             self._pool.keep(self._local_backend.address, connection)
         return body
--- a/src/hoisthook/result_code.py
+++ b/src/hoisthook/result_code.py
@@ -1,4 +1,4 @@
-"""Numbered result codes: every refusal, failure and settings error has one."""
+"""Numbered result codes of refusals, failures and settings errors."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Ran(Enum):
-    """Whether the backend server ran the request, as far as hoisthook can know."""
+    """Whether the backend server ran the request, as far as hoisthook knows."""
 
     RAN = "ran"
     NOT_RUN = "not-run"
@@ -16,20 +16,20 @@
 
 @dataclass(frozen=True, slots=True)
 class CodeEntry:
-    """What one result code means.
+    """Entry of one result code in the published table.
 
     Attributes
     ----------
     number : int
-        The stable number that callers and logs see.
+        Stable number, shown to callers and in logs.
     http_status : int
-        Status of the answer to a caller; 0 where no HTTP answer carries the code.
+        HTTP status of the answer to a caller; 0 if the code occurs in no HTTP answer.
     ran : Ran
-        What the code says about the request.
+        Whether the request ran.
     meaning : str
-        One sentence for the table in the docs.
+        Explanation in one sentence.
     action : str
-        What the caller or operator does next.
+        What the caller or operator should do.
     """
 
     number: int
@@ -40,7 +40,7 @@
 
 
 class ResultCode(Enum):
-    """All result codes; ``value`` is the entry of the published table."""
+    """All result codes; the value of a member is its entry in the published table."""
 
     OK = CodeEntry(0, 200, Ran.RAN, "The backend server's own answer follows.", "Use the answer.")
 
@@ -353,7 +353,7 @@
 
     @property
     def ran(self) -> Ran:
-        """Return what the code says about the request."""
+        """Return whether the request ran."""
         return self.value.ran
 
 
--- a/src/hoisthook/token_bucket.py
+++ b/src/hoisthook/token_bucket.py
@@ -1,22 +1,22 @@
-"""Tokens that accrue with time up to a bound; each admits one request."""
+"""Token bucket rate limiter; each token admits one request."""
 
 from __future__ import annotations
 
-# What many small additions leave short of a whole token by rounding.
+# Tolerance for comparisons of levels: many small additions may fall this far short by rounding.
 ROUNDING = 1e-9
 
 
 class TokenBucket:
-    """A level that grows at a rate up to a depth.
+    """A level of tokens that grows at a rate up to a depth; it may be negative.
 
     Parameters
     ----------
     rate : float
-        Tokens a second.
+        Tokens added per second.
     depth : float
-        Tokens held at most.
+        Maximum number of tokens.
     level : float
-        Tokens held at first.
+        Initial number of tokens.
     now : float
         Seconds on a monotonic clock.
     """
@@ -28,27 +28,27 @@
         self._updated_at = now
 
     def level(self, now: float) -> float:
-        """Return the tokens held at a moment; below 0 where more are owed."""
+        """Return the tokens held at ``now``; negative if more were taken than held."""
         accrued = self.rate * max(0.0, now - self._updated_at)
         return max(self._level, min(self.depth, self._level + accrued))
 
     def take(self, tokens: float, now: float) -> None:
-        """Take tokens that are there."""
+        """Take tokens; the level becomes negative if they are not available."""
         self._set(self.level(now) - tokens, now)
 
     def put_back(self, tokens: float, now: float) -> None:
-        """Put in tokens that were taken here and not used; what exceeds the depth is lost."""
+        """Add tokens, such as unused ones; those that exceed the depth are discarded."""
         self._set(min(self.depth, self.level(now) + tokens), now)
 
     def seconds_to(self, tokens: float, now: float) -> float:
-        """Return the seconds until so many are there."""
+        """Return the seconds until ``tokens`` are available; infinite if the rate is 0."""
         missing = tokens - self.level(now)
         if missing <= 0:
             return 0.0
         return missing / self.rate if self.rate > 0 else float("inf")
 
     def resize(self, rate: float, depth: float, now: float) -> None:
-        """Change rate and depth; what stands above the new depth is lost."""
+        """Change rate and depth; tokens above the new depth are discarded."""
         if (rate, depth) == (self.rate, self.depth):
             return
         self._set(min(depth, self.level(now)), now)
--- a/tests/admission/test_admission_policy.py
+++ b/tests/admission/test_admission_policy.py
@@ -18,7 +18,7 @@
 
 
 class AdmissionHarness:
-    """What admission consists of, without a backend server."""
+    """The parts of admission to one backend server, without the server."""
 
     def __init__(self, limit: int = 2) -> None:
         self.clock = FakeClock(1000.0)
--- a/tests/admission/test_cold_limit.py
+++ b/tests/admission/test_cold_limit.py
@@ -1,4 +1,4 @@
-"""What a cold backend server may get in any second."""
+"""Rate limit for a cold backend server."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def cold_limit(limit: int | None = LIMIT) -> ColdLimit:
-    """Return a limit of a process whose first second is over."""
+    """Return the limit of a process whose first window is over."""
     cold = ColdLimit(NOW - 10.0)
     cold.bound(limit)
     return cold
@@ -40,7 +40,7 @@
     for _ in range(4):
         cold.observed(0.0, NOW, NOW)
         send(cold, NOW + 0.001, LIMIT)
-    # As many were sent since it was last seen as it would bear had it turned cold since.
+    # As many were sent since the last observation as the limit allows if it has turned cold since.
     assert cold.available(NOW + 0.01) == 0
     assert cold.is_read_worthwhile(NOW + 0.01)
     cold.observed(0.0, NOW + 0.01, NOW + 0.012)
@@ -64,7 +64,7 @@
 
 
 def test_first_second_is_free_where_the_server_turned_cold_after_the_predecessors_end() -> None:
-    """As after a restart of all instances with their backend servers."""
+    """This happens after a restart of all instances with their backend servers."""
     cold = ColdLimit(NOW)
     cold.bound(LIMIT, 3.0)
     cold.observed(2.9, NOW + 0.05, NOW + 0.06)
@@ -76,7 +76,7 @@
     cold.bound(LIMIT, 3.0)
     cold.observed(2.5, NOW + 0.05, NOW + 0.06)
     assert cold.available(NOW + 0.1) == 0
-    # Nor is it free where nobody knows since when.
+    # It also counts as full if the start of the cold phase is unknown.
     cold.observed(5.0, NOW + 0.05, NOW + 0.06)
     assert cold.available(NOW + 0.1) == 0
 
@@ -90,7 +90,7 @@
     cold.release()
     assert cold.available(NOW) == 1
     cold.sent(NOW + 5.0)
-    # It goes out late and counts from then on.
+    # A request that is sent late counts from then on.
     assert cold.available(NOW + 5.0 + 0.5) == 1
 
 
@@ -127,7 +127,7 @@
 def test_bound_holds_where_the_server_turns_cold_unobserved(
     turned_cold: float, gaps: list[float], reads: list[bool]
 ) -> None:
-    """Whoever sends whenever there is room, and reads now and then, keeps the bound."""
+    """A node that sends whenever it may, and reads at random times, keeps the limit."""
     cold = cold_limit()
     cold.observed(0.0, NOW, NOW)
     cold_from = NOW + turned_cold
--- a/tests/admission/test_priority_gate.py
+++ b/tests/admission/test_priority_gate.py
@@ -22,26 +22,28 @@
     return PriorityGate(limit, ServerSpeed(), FakeClock(NOW))
 
 
-async def taken(gate: PriorityGate) -> Slot:
+async def take_slot(gate: PriorityGate) -> Slot:
     slot = await gate.enter(demand())
     assert slot is not None
     return slot
 
 
-async def entered(
-    gate: PriorityGate, wanted: Demand, order: list[Demand], slots: list[Slot]
+async def enter_and_record(
+    gate: PriorityGate, request: Demand, order: list[Demand], slots: list[Slot]
 ) -> None:
-    slot = await gate.enter(wanted, LONG)
+    slot = await gate.enter(request, LONG)
     if slot is not None:
-        order.append(wanted)
+        order.append(request)
         slots.append(slot)
 
 
 async def test_most_urgent_waiter_gets_the_slot_first() -> None:
     gate = gate_of(1)
-    slots = [await taken(gate)]
+    slots = [await take_slot(gate)]
     order: list[Demand] = []
-    waiting = [asyncio.create_task(entered(gate, demand(p), order, slots)) for p in (2, 0, 1, 0)]
+    waiting = [
+        asyncio.create_task(enter_and_record(gate, demand(p), order, slots)) for p in (2, 0, 1, 0)
+    ]
     await asyncio.sleep(0)
     assert gate.waiting == 4
     assert gate.waiting_before(demand(1)) == 3
@@ -49,15 +51,15 @@
         gate.leave(slots.pop())
         await asyncio.sleep(0)
     await asyncio.gather(*waiting)
-    assert [wanted.priority for wanted in order] == [0, 0, 1, 2]
+    assert [request.priority for request in order] == [0, 0, 1, 2]
 
 
 async def test_within_a_priority_the_one_due_first_goes_first() -> None:
     gate = gate_of(1)
-    slots = [await taken(gate)]
+    slots = [await take_slot(gate)]
     order: list[Demand] = []
     waiting = [
-        asyncio.create_task(entered(gate, demand(1, NOW + due), order, slots))
+        asyncio.create_task(enter_and_record(gate, demand(1, NOW + due), order, slots))
         for due in (3.0, 1.0, 2.0)
     ]
     await asyncio.sleep(0)
@@ -65,15 +67,15 @@
         gate.leave(slots.pop())
         await asyncio.sleep(0)
     await asyncio.gather(*waiting)
-    assert [wanted.due - NOW for wanted in order] == [1.0, 2.0, 3.0]
+    assert [request.due - NOW for request in order] == [1.0, 2.0, 3.0]
 
 
 async def test_within_a_priority_the_one_that_must_start_first_goes_first() -> None:
     gate = gate_of(1)
-    slots = [await taken(gate)]
+    slots = [await take_slot(gate)]
     order: list[Demand] = []
     short, long = demand(due=NOW + 1.0, work=0.1), demand(due=NOW + 1.2, work=0.9)
-    waiting = [asyncio.create_task(entered(gate, d, order, slots)) for d in (short, long)]
+    waiting = [asyncio.create_task(enter_and_record(gate, d, order, slots)) for d in (short, long)]
     await asyncio.sleep(0)
     for _ in range(2):
         gate.leave(slots.pop())
@@ -84,10 +86,12 @@
 
 async def test_late_request_goes_after_requests_that_can_be_in_time() -> None:
     gate = gate_of(1)
-    slots = [await taken(gate)]
+    slots = [await take_slot(gate)]
     order: list[Demand] = []
     late, in_time = demand(0, due=NOW + 0.05), demand(1, due=NOW + 0.2)
-    waiting = [asyncio.create_task(entered(gate, d, order, slots)) for d in (late, in_time)]
+    waiting = [
+        asyncio.create_task(enter_and_record(gate, d, order, slots)) for d in (late, in_time)
+    ]
     await asyncio.sleep(0)
     for _ in range(2):
         gate.leave(slots.pop())
@@ -98,14 +102,14 @@
 
 async def test_no_wait_is_refused_at_once() -> None:
     gate = gate_of(1)
-    await taken(gate)
+    await take_slot(gate)
     assert await gate.enter(demand()) is None
     assert gate.running == 1
 
 
 async def test_wait_ends_in_time_and_leaves_nothing_behind() -> None:
     gate = gate_of(1)
-    slot = await taken(gate)
+    slot = await take_slot(gate)
     assert await gate.enter(demand(), NOW + 0.01) is None
     assert gate.waiting == 0
     gate.leave(slot)
@@ -114,7 +118,7 @@
 
 async def test_cancelled_waiter_takes_no_slot() -> None:
     gate = gate_of(1)
-    slot = await taken(gate)
+    slot = await take_slot(gate)
     waiting = asyncio.create_task(gate.enter(demand(), LONG))
     await asyncio.sleep(0)
     waiting.cancel()
@@ -127,7 +131,7 @@
 
 async def test_waiter_cancelled_in_the_moment_of_its_admission_gives_the_slot_back() -> None:
     gate = gate_of(1)
-    slot = await taken(gate)
+    slot = await take_slot(gate)
     waiting = asyncio.create_task(gate.enter(demand(), LONG))
     await asyncio.sleep(0)
     gate.leave(slot)
@@ -139,7 +143,7 @@
 
 async def test_refuse_waiting_rejects_all_waiters() -> None:
     gate = gate_of(1)
-    slot = await taken(gate)
+    slot = await take_slot(gate)
     waiting = [asyncio.create_task(gate.enter(demand(), LONG)) for _ in range(3)]
     await asyncio.sleep(0)
     gate.refuse_waiting()
@@ -150,7 +154,7 @@
 
 async def test_raised_limit_admits_waiters_and_lowered_leaves_the_running_alone() -> None:
     gate = gate_of(1)
-    slot = await taken(gate)
+    slot = await take_slot(gate)
     waiting = asyncio.create_task(gate.enter(demand(), LONG))
     await asyncio.sleep(0)
     gate.set_limit(2)
--- a/tests/admission/test_running_requests.py
+++ b/tests/admission/test_running_requests.py
@@ -1,4 +1,4 @@
-"""Which requests make the calls that come from a backend server is learned from what runs."""
+"""The parent of a call is inferred from the requests that run when calls arrive."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def learn(running_requests: RunningRequests, count: int = 2 * MIN_ARRIVALS) -> None:
-    """Half of the time a registration runs, which looks things up; others come at any time."""
+    """Let each registration make a lookup; requests of `OWN` arrive with or without one running."""
     randomness = random.Random(7)
     for _ in range(count):
         request = running(REGISTER, 0)
--- a/tests/admission/test_slot_gate.py
+++ b/tests/admission/test_slot_gate.py
@@ -88,9 +88,9 @@
 
 def test_stalled_backend_server_gets_only_a_probe_until_it_recovers() -> None:
     gate = make_gate(10)
-    for moment in range(30):
-        (ticket,) = fill(gate, 1, now=moment)
-        gate.release(ticket, moment + 0.005)
+    for second in range(30):
+        (ticket,) = fill(gate, 1, now=second)
+        gate.release(ticket, second + 0.005)
     fill(gate, 4, now=100.0)
     probe = Ticket("a", FAR)
     assert gate.admit(probe, 100.1, may_wait=True) is None
@@ -106,9 +106,9 @@
 
 def test_waiting_request_is_refused_when_the_server_stalls() -> None:
     gate = make_gate(2, queue=1)
-    for moment in range(30):
-        (ticket,) = fill(gate, 1, now=moment)
-        gate.release(ticket, moment + 0.005)
+    for second in range(30):
+        (ticket,) = fill(gate, 1, now=second)
+        gate.release(ticket, second + 0.005)
     fill(gate, 2, now=100.0)
     waiting = Ticket("a", FAR)
     gate.admit(waiting, 100.001, may_wait=True)
@@ -119,9 +119,9 @@
 
 def test_one_long_request_is_no_stall() -> None:
     gate = make_gate(10)
-    for moment in range(30):
-        (ticket,) = fill(gate, 1, now=moment)
-        gate.release(ticket, moment + 0.005)
+    for second in range(30):
+        (ticket,) = fill(gate, 1, now=second)
+        gate.release(ticket, second + 0.005)
     fill(gate, 1, now=100.0)
     assert not gate.is_stalled(200.0)
 
@@ -133,9 +133,9 @@
         self.gate = make_gate(3, queue=2)
         self.tickets: list[Ticket] = []
 
-    @rule(caller=st.sampled_from("abc"), may_wait=st.booleans(), life=st.integers(1, 5))
-    def admit(self, caller: str, may_wait: bool, life: int) -> None:
-        ticket = Ticket(caller, self.now + life)
+    @rule(caller=st.sampled_from("abc"), may_wait=st.booleans(), lifetime=st.integers(1, 5))
+    def admit(self, caller: str, may_wait: bool, lifetime: int) -> None:
+        ticket = Ticket(caller, self.now + lifetime)
         if self.gate.admit(ticket, self.now, may_wait=may_wait) is None:
             self.tickets.append(ticket)
 
--- a/tests/admission/test_urgent_arrivals.py
+++ b/tests/admission/test_urgent_arrivals.py
@@ -1,4 +1,4 @@
-"""At a cold backend server the less urgent leaves room for what is more urgent."""
+"""A cold backend server withholds capacity for more urgent requests."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 
 async def served_by_rank(urgent_per_second: int, other_per_second: int) -> dict[int, float]:
-    """Return which share of each rank a cold server takes that gets more than it bears.
+    """Return the share of each rank that an overloaded cold server admits.
 
-    Arrivals are evenly spread, and whatever is admitted ends at once.
+    Arrivals are evenly spread, and admitted requests complete at once.
     """
     clock = FakeClock()
     gate = PriorityGate(100, ServerSpeed(), clock)
@@ -51,10 +51,10 @@
 
 
 async def test_more_urgent_requests_are_served_while_they_fit() -> None:
-    """As calls under registrations do beside the lookups of a cold service."""
+    """For example calls of registrations, while a cold service also gets lookups."""
     served = await served_by_rank(9, 17)
     assert served[URGENT] > 0.9
-    # First come, first served gives both the same: 0.7.
+    # In order of arrival both ranks would get the same share, 0.7.
     assert 0.4 < served[OTHER] < 0.65
 
 
--- a/tests/admission/test_usable_slots.py
+++ b/tests/admission/test_usable_slots.py
@@ -1,4 +1,4 @@
-"""All slots of a server are used unless its last ones take more than they give."""
+"""All slots of a server are used unless the last ones reduce its throughput."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def simulate(slots: int, slow_factor: float, seed: int, *, requests: int = 400) -> list[int]:
-    """Serve requests whose work varies, at random numbers of others; return the limits used."""
+    """Simulate requests with varying service times and concurrency; return the limits used."""
     randomness = random.Random(seed)
     usable = UsableSlots(SHARE)
     reduced_limit = max(1, int(slots * SHARE))
@@ -22,15 +22,15 @@
     for number in range(requests):
         limit = usable.limit(slots, number / 50)
         limits.append(limit)
-        begun = randomness.randint(1, limit)
-        ended = max(1, min(limit, begun + randomness.randint(-1, 1)))
+        running_at_start = randomness.randint(1, limit)
+        running_at_end = max(1, min(limit, running_at_start + randomness.randint(-1, 1)))
         ratio = randomness.lognormvariate(0.0, 0.3) * (
-            slow_factor if begun > reduced_limit else 1.0
+            slow_factor if running_at_start > reduced_limit else 1.0
         )
-        # A slow moment that no report told of in time.
+        # A slow period that no report showed in time.
         if randomness.random() < 0.05:
             ratio *= 7.0
-        usable.finished(slots, (begun, ended), ratio)
+        usable.finished(slots, (running_at_start, running_at_end), ratio)
     return limits
 
 
