--- a/src/hoisthook/admission/admission_policy.py
+++ b/src/hoisthook/admission/admission_policy.py
@@ -12,15 +12,15 @@
     from hoisthook.admission.server_speed import ServerSpeed
     from hoisthook.port.clock import Clock
 
-# Highest probability that the last load report is out of date at which a request is started on
-# it, if the request would miss its target in a slow period; above it the load is read first. Of
-# 6,235 requests of a lightly loaded system, 0.2 % of those started on a report younger than 5 ms
-# took over three times their forecast, and 8.3 % of those started on one older than 50 ms. A read
-# takes about 1 ms.
+# A request that would miss its target in a slow period is started on the last load report only if
+# that report is out of date with at most this probability; otherwise the load is read first, which
+# takes about 1 ms. Of 6,235 requests under a light load, 0.2 % of those started on a report younger
+# than 5 ms took over three times their forecast, and 8.3 % of those started on one older than
+# 50 ms.
 MAX_BLIND_CHANCE = 0.012
-# The same probability while the last report shows a slow period. An outdated report then rejects
-# requests needlessly, which costs each only a hop to another node, so it may be higher before a
-# read pays for itself.
+# The same limit while the last report shows a slow period. If that report is out of date, requests
+# are rejected needlessly, which costs each only a hop to another node; so the probability may be
+# higher before a read pays for itself.
 MAX_STALE_SLOW_CHANCE = 0.3
 # How many mean durations of a slow period a request may wait for its end. Durations are assumed
 # to be exponentially distributed, so nine in ten slow periods have ended by then. Without this
--- a/src/hoisthook/admission/admitter.py
+++ b/src/hoisthook/admission/admitter.py
@@ -50,7 +50,7 @@
     slot : Slot
         The slot that it holds.
     route : RouteName
-        Route whose usual service time it is used to learn.
+        Route whose service time is learned from it.
     work : float
         Expected service time in seconds at full speed.
     slowdown : float
@@ -133,7 +133,7 @@
         """Record the arrival of a request, whether or not it is admitted."""
         self.gate.urgent.arrived(demand.priority, self._clock.now())
 
-    async def renew(self, demand: Demand) -> None:
+    async def refresh_load(self, demand: Demand) -> None:
         """Read the load if that could change the decision about a request."""
         is_bound = self.gate.cold.is_read_worthwhile(self._clock.now())
         if (is_bound or self.policy.is_read_worthwhile(demand)) and self._may_read():
@@ -145,7 +145,7 @@
         self.gate.admit()
 
     def decide_admission(self, demand: Demand, *, may_wait: bool) -> AdmissionDecision:
-        """Decide on a request."""
+        """Decide whether a request starts, waits or is rejected."""
         return self.policy.may_wait(demand) if may_wait else self.policy.start_now(demand)
 
     async def enter(
--- a/src/hoisthook/admission/backend_server_state.py
+++ b/src/hoisthook/admission/backend_server_state.py
@@ -134,8 +134,8 @@
             self._recent.clear()
             self._enter("eject", now)
 
-    def takes(self, now: float) -> bool:
-        """Return whether the phase admits a new request."""
+    def admits_request(self, now: float) -> bool:
+        """Return whether a new request is admitted in the current phase."""
         self.tick(now)
         if self.phase in (Phase.COLD, Phase.ACTIVE):
             return True
--- a/src/hoisthook/admission/cold_limit.py
+++ b/src/hoisthook/admission/cold_limit.py
@@ -56,7 +56,7 @@
         """Return how many requests may be sent in a second; None if unlimited."""
         return self._limit
 
-    def bound(self, limit: int | None, cold_seconds: float = 0.0) -> None:
+    def set_rate_limit(self, limit: int | None, cold_seconds: float = 0.0) -> None:
         """Set the limit.
 
         Parameters
--- a/src/hoisthook/admission/fair_queue.py
+++ b/src/hoisthook/admission/fair_queue.py
@@ -57,13 +57,13 @@
             del self._queue_by_caller[ticket.caller]
 
     def displace_for(self, ticket: Ticket) -> Ticket | None:
-        """Remove the newest request of the heaviest caller if that of ``ticket`` is lighter.
+        """Remove the newest request of the heaviest caller if the caller of ``ticket`` is lighter.
 
         Returns
         -------
         Ticket or None
-            The removed request; None if none waits, or if the caller of
-            ``ticket`` would be at least as heavy with it.
+            The removed request; None if no request waits, or if ``ticket`` would
+            make its own caller at least as heavy.
         """
         if not self._queue_by_caller:
             return None
--- a/src/hoisthook/admission/running_requests.py
+++ b/src/hoisthook/admission/running_requests.py
@@ -22,8 +22,8 @@
 # share of the call's arrivals. The rest allows for calls that arrive just after their parent was
 # abandoned.
 MIN_PARENT_SHARE = 0.97
-# A route is evidence only if there is another route at whose arrivals its requests run no more
-# often than this; otherwise they run all the time, whatever arrives.
+# A route can be the parent's only if, at the arrivals of some other route, its requests run in no
+# more than this share; otherwise they run nearly all the time and show nothing about calls.
 MAX_UNRELATED_SHARE = 0.85
 
 
--- a/src/hoisthook/admission/slot_gate.py
+++ b/src/hoisthook/admission/slot_gate.py
@@ -35,7 +35,7 @@
         Caller that sent the request.
     deadline : float
         When it expires, in seconds on the gate's clock.
-    on_admit : callable
+    on_dequeued : callable
         Called once when a ticket stops waiting: it got a slot (``done`` is False), or it was
         displaced, expired or refused (``done`` is True).
     started : float
@@ -48,7 +48,7 @@
 
     caller: CallerId
     deadline: float
-    on_admit: Callable[[], None] | None = None
+    on_dequeued: Callable[[], None] | None = None
     started: float = -1.0
     waiting: bool = False
     done: bool = field(default=False)
@@ -153,8 +153,8 @@
             self._stalled = True
             self._probe = None
             for waiting in self.refuse_waiting():
-                if waiting.on_admit is not None:
-                    waiting.on_admit()
+                if waiting.on_dequeued is not None:
+                    waiting.on_dequeued()
         return self._stalled
 
     def _detects_stall(self, now: float) -> bool:
@@ -201,8 +201,8 @@
                 return Refusal(code, wait)
             displaced.waiting = False
             displaced.done = True
-            if displaced.on_admit is not None:
-                displaced.on_admit()
+            if displaced.on_dequeued is not None:
+                displaced.on_dequeued()
         ticket.waiting = True
         self._queue.push(ticket)
         return None
@@ -215,8 +215,8 @@
                 ticket.done = True
             else:
                 self._start(ticket, now)
-            if ticket.on_admit is not None:
-                ticket.on_admit()
+            if ticket.on_dequeued is not None:
+                ticket.on_dequeued()
 
     def _start(self, ticket: Ticket, now: float) -> None:
         ticket.started = now
--- a/src/hoisthook/experiment/modelled_node.py
+++ b/src/hoisthook/experiment/modelled_node.py
@@ -141,7 +141,7 @@
             target=call.target_latency,
             deadline=call.deadline,
         )
-        await self.admitter.renew(demand)
+        await self.admitter.refresh_load(demand)
         may_wait = admission is Admission.QUEUE
         refused = self.repeats.refuse(call)
         if refused is not None:
--- a/src/hoisthook/mesh/backend_link.py
+++ b/src/hoisthook/mesh/backend_link.py
@@ -132,7 +132,7 @@
         self.health.on_cold(self._observed_cold)
         if settings.cold_factor > 0:
             # Nothing is sent before the operators' rate is known.
-            self.gate.cold.bound(0)
+            self.gate.cold.set_rate_limit(0)
         self._settings = settings
         self._crashes = crashes
         self.repeats = repeats
@@ -163,10 +163,10 @@
         if traits is not None:
             self.health.path = traits.health_path
         if traits is None:
-            self.gate.cold.bound(None)
+            self.gate.cold.set_rate_limit(None)
         else:
             limit = self._settings.cold_bound(traits.cold_per_second)
-            self.gate.cold.bound(limit, traits.cold_seconds)
+            self.gate.cold.set_rate_limit(limit, traits.cold_seconds)
         self._adapt()
 
     def evacuate(self, *, evacuated: bool) -> None:
@@ -214,7 +214,7 @@
             await self._admitter.read()
             self._adapt()
         elif self.observed_backend.takes_work:
-            await self._admitter.renew(demand)
+            await self._admitter.refresh_load(demand)
         may_wait = admission is Admission.QUEUE
         if not may_wait:
             # Once for each node that is asked; it may come back to wait.
--- a/src/hoisthook/node/local_backend.py
+++ b/src/hoisthook/node/local_backend.py
@@ -161,8 +161,8 @@
         self.state.tick(now)
         if self.state.phase in (Phase.ABSENT, Phase.DRAINING):
             for ticket in self.gate.refuse_waiting():
-                if ticket.on_admit is not None:
-                    ticket.on_admit()
+                if ticket.on_dequeued is not None:
+                    ticket.on_dequeued()
         self.gate.is_stalled(now)
 
     def _refuse_by_phase(self, call: Call, now: float) -> Refused | None:
@@ -170,7 +170,7 @@
             return Refused(ResultCode.NO_BACKEND_SERVER, DRAINING_RETRY_SECONDS)
         if now >= call.deadline:
             return Refused(ResultCode.DEADLINE_PASSED, 0.0)
-        if not self._admission or self.state.takes(now):
+        if not self._admission or self.state.admits_request(now):
             return None
         if self.state.phase in (Phase.DRAINING, Phase.ABSENT):
             return Refused(ResultCode.BACKEND_SERVER_DRAINING, DRAINING_RETRY_SECONDS)
@@ -201,7 +201,7 @@
             if not admitted.done():
                 admitted.set_result(None)
 
-        ticket.on_admit = wake
+        ticket.on_dequeued = wake
         attempt.on_abandon(wake)
         timer = loop.call_later(max(0.0, ticket.deadline - self._clock.now()), wake)
         try:
--- a/tests/admission/test_backend_server_state.py
+++ b/tests/admission/test_backend_server_state.py
@@ -38,15 +38,15 @@
 
 def test_announcements_that_stop_end_new_work_within_three_seconds() -> None:
     state = active_state(10.0)
-    assert state.takes(12.9)
-    assert not state.takes(13.1)
+    assert state.admits_request(12.9)
+    assert not state.admits_request(13.1)
     assert state.phase is Phase.ABSENT
 
 
 def test_draining_takes_no_work_at_once() -> None:
     state = active_state()
     state.announced(10.1, draining=True)
-    assert not state.takes(10.1)
+    assert not state.admits_request(10.1)
 
 
 def test_cancelled_drain_starts_cold() -> None:
@@ -61,7 +61,7 @@
     for _ in range(20):
         state.answered(10.1, failed=True)
     assert state.phase is Phase.EJECTED
-    assert not state.takes(10.2)
+    assert not state.admits_request(10.2)
 
 
 def test_few_failures_are_no_reason_to_eject() -> None:
@@ -76,7 +76,7 @@
     for _ in range(20):
         state.answered(10.1, failed=True)
     state.announced(11.5, draining=False)
-    admitted = sum(state.takes(11.6) for _ in range(1000))
+    admitted = sum(state.admits_request(11.6) for _ in range(1000))
     assert state.phase is Phase.PROBATION
     assert 50 < admitted < 200
     for _ in range(5):
--- a/tests/admission/test_cold_limit.py
+++ b/tests/admission/test_cold_limit.py
@@ -17,7 +17,7 @@
 def cold_limit(limit: int | None = LIMIT) -> ColdLimit:
     """Return the limit of a process whose first window is over."""
     cold = ColdLimit(NOW - 10.0)
-    cold.bound(limit)
+    cold.set_rate_limit(limit)
     return cold
 
 
@@ -56,7 +56,7 @@
 
 def test_first_second_of_a_process_counts_as_full() -> None:
     cold = ColdLimit(NOW)
-    cold.bound(LIMIT)
+    cold.set_rate_limit(LIMIT)
     cold.observed(3.0, NOW, NOW)
     assert cold.available(NOW + 0.5) == 0
     assert cold.seconds_until_available(NOW + 0.5) > 0
@@ -66,14 +66,14 @@
 def test_first_second_is_free_where_the_server_turned_cold_after_the_predecessors_end() -> None:
     """This happens after a restart of all instances with their backend servers."""
     cold = ColdLimit(NOW)
-    cold.bound(LIMIT, 3.0)
+    cold.set_rate_limit(LIMIT, 3.0)
     cold.observed(2.9, NOW + 0.05, NOW + 0.06)
     assert cold.available(NOW + 0.1) == LIMIT
 
 
 def test_first_second_is_full_where_it_turned_cold_before() -> None:
     cold = ColdLimit(NOW)
-    cold.bound(LIMIT, 3.0)
+    cold.set_rate_limit(LIMIT, 3.0)
     cold.observed(2.5, NOW + 0.05, NOW + 0.06)
     assert cold.available(NOW + 0.1) == 0
     # It also counts as full if the start of the cold phase is unknown.
--- a/tests/admission/test_urgent_arrivals.py
+++ b/tests/admission/test_urgent_arrivals.py
@@ -25,7 +25,7 @@
     clock = FakeClock()
     gate = PriorityGate(100, ServerSpeed(), clock)
     policy = AdmissionPolicy(gate, ServerSpeed(), clock)
-    gate.cold.bound(LIMIT)
+    gate.cold.set_rate_limit(LIMIT)
     clock.advance(WINDOW_SECONDS)
     gate.cold.observed(1000.0, clock.now(), clock.now())
     arrived_by_rank = {URGENT: 0, OTHER: 0}
