--- a/src/hoisthook/admission/backend_server_state.py
+++ b/src/hoisthook/admission/backend_server_state.py
@@ -13,6 +13,7 @@
 COLD_SECONDS = 2.0
 COLD_START_SHARE = 0.25
 ANNOUNCEMENT_TTL_SECONDS = 3.0
+# Number of recent answers from which the share of failures is taken.
 FAILURE_WINDOW = 20
 FAILURE_SHARE = 0.5
 EJECT_SECONDS = 1.0
--- a/src/hoisthook/admission/slow_periods.py
+++ b/src/hoisthook/admission/slow_periods.py
@@ -11,7 +11,7 @@
 # start counted as a slow period, it would be left idle until it is warm: in simulations with
 # restarts that gave 0.680 of the possible request value, against 0.726 with the base.
 BASE_WINDOW_SECONDS = 0.6
-# Above the slowdown that a cold server reports, below that of a slow period.
+# Initial base: above the slowdown that a cold server reports, below that of a slow period.
 FIRST_BASE = 2.2
 # Time constant with which observations lose weight, since the other load on an instance changes.
 MEMORY_SECONDS = 30.0
--- a/tests/admission/test_priority_gate.py
+++ b/tests/admission/test_priority_gate.py
@@ -129,7 +129,7 @@
     assert gate.has_capacity
 
 
-async def test_waiter_cancelled_in_the_moment_of_its_admission_gives_the_slot_back() -> None:
+async def test_waiter_cancelled_while_it_is_admitted_releases_the_slot() -> None:
     gate = gate_of(1)
     slot = await take_slot(gate)
     waiting = asyncio.create_task(gate.enter(demand(), LONG))
--- a/tests/admission/test_usable_slots.py
+++ b/tests/admission/test_usable_slots.py
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize("slots", SLOTS)
-def test_a_server_that_slows_down_when_nearly_full_gets_a_part(slots: int) -> None:
+def test_server_that_slows_down_when_nearly_full_gets_the_reduced_limit(slots: int) -> None:
     reduced_limit = max(1, int(slots * SHARE))
     for seed in range(10):
         limits = simulate(slots, 1.9, seed)
@@ -68,5 +68,5 @@
 
 
 @pytest.mark.parametrize("slots", [6, 9, 12, 18])
-def test_a_server_of_many_slots_keeps_its_part(slots: int) -> None:
+def test_server_with_many_slots_keeps_the_reduced_limit(slots: int) -> None:
     assert set(simulate(slots, 1.0, 1)) == {int(slots * SHARE)}
