--- a/src/hoisthook/local_backend/crash_monitor.py
+++ b/src/hoisthook/local_backend/crash_monitor.py
@@ -81,21 +81,21 @@
         Work that the same incarnation has already executed successfully is left out.
         """
         now = self._clock.now()
-        suspects = [lost for lost in lost_requests if lost.work not in self._successful_runs]
+        has_evidence = [lost for lost in lost_requests if lost.work not in self._successful_runs]
         if len(self._crashed_under) > MAX_WORKS:
             self._crashed_under.clear()
-        self._crashed_under.update(lost.work for lost in suspects)
-        for lost in suspects:
+        self._crashed_under.update(lost.work for lost in has_evidence)
+        for lost in has_evidence:
             self._evidence.ended(self.service, lost.work, lost.instance, now)
         self._successful_runs.clear()
-        if suspects:
+        if has_evidence:
             for listener in self._listeners:
                 listener()
 
     def request_succeeded(self, call: WorkRequest) -> None:
         """Record that a request was executed successfully."""
         is_large = len(call.body) > MAX_RECORDED_BODY_BYTES
-        if is_large and not self._evidence.suspects(self.service):
+        if is_large and not self._evidence.has_evidence(self.service):
             return
         self._successful_runs.add(call.work)
         self._evidence.ran_well(self.service, call.work, self._clock.now())
@@ -106,7 +106,7 @@
         Such a request is rejected before it gets a slot, since it would crash the backend server
         together with all other requests running there.
         """
-        if not call.is_complete or not self._evidence.suspects(self.service):
+        if not call.is_complete or not self._evidence.has_evidence(self.service):
             return None
-        seconds = self._evidence.refused_for(self.service, call.work, self._clock.now())
+        seconds = self._evidence.rejected_for(self.service, call.work, self._clock.now())
         return Refused(ResultCode.WORK_ENDS_SERVERS, seconds) if seconds > 0 else None
--- a/src/hoisthook/local_backend/repeat_limit.py
+++ b/src/hoisthook/local_backend/repeat_limit.py
@@ -11,7 +11,7 @@
 from hoisthook.result_code import ResultCode
 from hoisthook.retry.arrival import Arrival
 from hoisthook.retry.arrival_budget import ArrivalBudget
-from hoisthook.retry.arrival_budget import part_of
+from hoisthook.retry.arrival_budget import node_part
 from hoisthook.retry.caller_share import CallerShares
 
 if TYPE_CHECKING:
@@ -155,8 +155,8 @@
         self._membership = membership
         nodes = self._nodes.nodes_of_own_service() if self._nodes.is_complete else []
         self._node_count = len(nodes)
-        part = part_of(self._settings.extra, self._node, nodes) if nodes else 0.0
-        self._budget.has_part(part, self._clock.now())
+        part = node_part(self._settings.extra, self._node, nodes) if nodes else 0.0
+        self._budget.set_part(part, self._clock.now())
 
     def refuse(self, call: ArrivingRequest) -> Refused | None:
         """Return a refusal for a repeat that exceeds the budget; None for any other request."""
@@ -187,11 +187,11 @@
         self._budget.arrived(call.arrival, now)
         if call.arrival is Arrival.FIRST:
             self._caller_shares.learn(call.route, call.idle_observation)
-            requests = self._caller_shares.counted(call.route)
+            requests = self._caller_shares.caller_weight(call.route)
             self._requests += requests
-            self._budget.requested(requests, now)
+            self._budget.record_requests(requests, now)
             self._arrived += call.by_repeat
-            self._budget.called(call.by_repeat, now)
+            self._budget.charge_call(call.by_repeat, now)
         else:
             self._arrived += 1
             self._log_decision(call, now, granted=True)
@@ -212,7 +212,7 @@
         the repeats of their own services.
         """
         is_call = self._caller_shares.share(call.route) < MIN_CALLER_SHARE
-        return is_call and self._budget.owes(self._clock.now())
+        return is_call and self._budget.is_overdrawn(self._clock.now())
 
     def callee_over_budget(self, call: ArrivingRequest) -> None:
         """Pause repeats, as the service that a call went to is over its repeat budget.
--- a/src/hoisthook/measure/measurer.py
+++ b/src/hoisthook/measure/measurer.py
@@ -1,4 +1,4 @@
-"""Reads the load endpoint of the backend server beside, within the budget."""
+"""Reads the load endpoint of the local backend server within the budget."""
 
 from __future__ import annotations
 
@@ -18,35 +18,40 @@
     from hoisthook.node.local_backend import LocalBackend
     from hoisthook.port.clock import Clock
 
-READ_SECONDS = 0.25
-NO_RATE_SECONDS = 1.0
-MAX_BYTES = 4096
+READ_TIMEOUT_SECONDS = 0.25
+DISABLED_CHECK_SECONDS = 1.0
+MAX_BODY_BYTES = 4096
 MAX_FOREIGN_SHARE = 0.5
 
 
 class LoadReading(msgspec.Struct):
-    """What a backend server's load endpoint says."""
+    """Answer of a backend server's load endpoint."""
 
     active: int
     healthy: bool = True
 
 
 class Measurer:
-    """Learns what passive observation cannot: work that came another way.
+    """Measures foreign load: requests that a backend server runs and that did not pass its node.
 
-    What a reading says is old when it arrives and may mislead, so it can take
-    away at most half of the slots.
+    A reading is out of date when it arrives and may be wrong, so foreign load
+    can occupy at most `MAX_FOREIGN_SHARE` of the slots.
 
     Parameters
     ----------
     local_backend : LocalBackend
-        The backend server's side; its ``foreign_load`` is set here.
+        The local backend server, whose ``foreign_load`` is set.
     pool : ClientPool
         Connections to the backend server.
     budget : MeasureBudget
-        The hard bound.
+        Limits the rate of reads.
     clock : Clock
-        Monotonic.
+        Monotonic clock.
+
+    Attributes
+    ----------
+    path : str
+        Path of the load endpoint; empty if the backend server has none.
     """
 
     def __init__(
@@ -60,14 +65,14 @@
 
     @property
     def budget(self) -> MeasureBudget:
-        """Return the budget, for metrics."""
+        """Return the budget, whose totals are exported as metrics."""
         return self._budget
 
     async def run(self) -> None:
         """Read whenever the budget allows, until cancelled."""
         while True:
             rate = self._budget.rate
-            await asyncio.sleep(1.0 / rate if rate > 0 else NO_RATE_SECONDS)
+            await asyncio.sleep(1.0 / rate if rate > 0 else DISABLED_CHECK_SECONDS)
             if (
                 self.path
                 and self._local_backend.takes_work()
@@ -76,7 +81,7 @@
                 await self.read()
 
     async def read(self) -> None:
-        """Read once; a read that fails teaches nothing."""
+        """Read once; a failed read is counted and otherwise ignored."""
         started = self._clock.now()
         running = self._local_backend.gate.running
         request = encode_request_head(
@@ -84,8 +89,10 @@
         )
         size = len(request)
         try:
-            async with asyncio.timeout(READ_SECONDS):
-                connection = await self._pool.acquire(self._local_backend.address, READ_SECONDS)
+            async with asyncio.timeout(READ_TIMEOUT_SECONDS):
+                connection = await self._pool.acquire(
+                    self._local_backend.address, READ_TIMEOUT_SECONDS
+                )
                 body = await self._fetch(connection, request)
         except (UnreachableError, BrokenExchangeError, TimeoutError):
             self._budget.account(size, self._clock.now() - started)
@@ -99,8 +106,8 @@
             await connection.send(request)
             while data := await connection.body.read():
                 body += data
-                if len(body) > MAX_BYTES:
-                    raise BrokenExchangeError("load reading too large")
+                if len(body) > MAX_BODY_BYTES:
+                    raise BrokenExchangeError("load reading exceeds the size limit")
         finally:
             self._pool.keep(self._local_backend.address, connection)
         return body
@@ -111,8 +118,8 @@
         except msgspec.DecodeError:
             return
         gate = self._local_backend.gate
-        most = int(gate.slots * MAX_FOREIGN_SHARE)
+        max_foreign = int(gate.slots * MAX_FOREIGN_SHARE)
         foreign = reading.active - max(running_before, gate.running)
         if not reading.healthy:
-            foreign = most
-        self._local_backend.foreign_load = min(most, max(0, foreign))
+            foreign = max_foreign
+        self._local_backend.foreign_load = min(max_foreign, max(0, foreign))
--- a/src/hoisthook/mesh/backend_link.py
+++ b/src/hoisthook/mesh/backend_link.py
@@ -140,7 +140,7 @@
         self.health.on_cold(self._update_cold_state)
         if settings.cold_factor > 0:
             # No requests are sent to a cold server until the operators' rate is known.
-            self.gate.cold.bound(0)
+            self.gate.cold.set_rate_limit(0)
         self._settings = settings
         self._crash_monitor = crashes
         self.repeats = repeats
@@ -173,10 +173,10 @@
         if traits is not None:
             self.health.path = traits.health_path
         if traits is None:
-            self.gate.cold.bound(None)
+            self.gate.cold.set_rate_limit(None)
         else:
             limit = self._settings.cold_bound(traits.cold_per_second)
-            self.gate.cold.bound(limit, traits.cold_seconds)
+            self.gate.cold.set_rate_limit(limit, traits.cold_seconds)
         self._update_gate()
 
     def evacuate(self, *, evacuated: bool) -> None:
@@ -224,7 +224,7 @@
             await self._admitter.read()
             self._update_gate()
         elif self.observed_backend.takes_work:
-            await self._admitter.renew(demand)
+            await self._admitter.refresh_load(demand)
         may_wait = admission is Admission.QUEUE
         if not may_wait:
             # Counted at the direct attempt only: the request may return to this node to be queued.
@@ -268,7 +268,7 @@
         refused = self._crash_monitor.refuse(call) or self.repeats.refuse(call)
         if refused is not None:
             return refused
-        return _refusal(self._admitter.rule(demand, may_wait=may_wait))
+        return _refusal(self._admitter.decide_admission(demand, may_wait=may_wait))
 
     def _refuse_before_sending(self, call: RoutedCall) -> Refused | None:
         """Return a refusal for an admitted request that must no longer be sent.
@@ -323,10 +323,10 @@
         )
         outcome = exchange_result.outcome
         if isinstance(outcome, CompleteAnswer) and outcome.status < FAILURE_STATUS:
-            self._admitter.worked(admitted_request, exchange_result.seconds)
+            self._admitter.record_completed(admitted_request, exchange_result.seconds)
             self._crash_monitor.request_succeeded(call)
         elif isinstance(outcome, Lost) and outcome.code is ResultCode.DEADLINE_DURING_RUN:
-            self._admitter.gave_up(admitted_request, exchange_result.seconds)
+            self._admitter.record_abandoned(admitted_request, exchange_result.seconds)
         # The answer may have changed the number of slots or the incarnation.
         self._update_gate()
         if isinstance(outcome, Refused) and outcome.code is ResultCode.BACKEND_SERVER_SHED:
@@ -334,7 +334,7 @@
         return outcome
 
     def _update_gate(self) -> None:
-        self._admitter.has_slots(self.observed_backend.slots)
+        self._admitter.set_slots(self.observed_backend.slots)
         if self.evacuated or not self.observed_backend.takes_work:
             self.gate.refuse_waiting()
         self.gate.admit()
