--- a/standin/quota_fleet.py
+++ b/standin/quota_fleet.py
@@ -61,9 +61,9 @@
 class OtherQuotaPeer:
     """A node as a quota peer of another node."""
 
-    def __init__(self, place: NodeLocation, *, is_self: bool) -> None:
-        self.peer = place
-        self.address: Address = (place.node, 1)
+    def __init__(self, location: NodeLocation, *, is_self: bool) -> None:
+        self.peer = location
+        self.address: Address = (location.node, 1)
         self.is_self = is_self
 
 
@@ -78,9 +78,9 @@
         Whether the node is running.
     """
 
-    def __init__(self, fleet: Fleet, place: NodeLocation) -> None:
+    def __init__(self, fleet: Fleet, location: NodeLocation) -> None:
         self.fleet = fleet
-        self.place = place
+        self.place = location
         self.partition = 0
         self.alive = True
         # Nodes that this node cannot reach although others can.
@@ -96,7 +96,7 @@
         self.quota_coordinator = self._new_quota_coordinator()
         self.quota_coordinator.set_owners(self.fleet.owners_for(self))
 
-    async def query_peer(self, quota_peer: QuotaPeer, question: QuotaRequest) -> QuotaReply | None:
+    async def query_peer(self, quota_peer: QuotaPeer, request: QuotaRequest) -> QuotaReply | None:
         """Return a node's answer, or None if the request or the answer is lost."""
         other = self.fleet.by_node[quota_peer.peer.node]
         near = other.place.data_centre == self.place.data_centre
@@ -106,7 +106,7 @@
         await asyncio.sleep(LOCAL_LATENCY_SECONDS if near else REMOTE_LATENCY_SECONDS)
         if near:
             other.quota_coordinator.peer_contacted()
-        answer = await other.quota_coordinator.answer(question)
+        answer = await other.quota_coordinator.answer(request)
         await asyncio.sleep(LOCAL_LATENCY_SECONDS if near else REMOTE_LATENCY_SECONDS)
         return answer if self.reaches(other) else None
 
@@ -152,8 +152,8 @@
         self.not_run_share = 0.0
         self._request_tasks: list[asyncio.Task[None]] = []
         for number, count in enumerate(per_data_centre):
-            for place in range(count):
-                name = NodeId(f"node-{number}-{place}")
+            for index in range(count):
+                name = NodeId(f"node-{number}-{index}")
                 self.by_node[name] = Node(self, NodeLocation(name, DataCentre(f"dc-{number}")))
         for node in self.by_node.values():
             node.quota_coordinator.set_owners(self.owners_for(node))
@@ -234,7 +234,7 @@
         """Return the largest number of requests of a team admitted in any window."""
         times = sorted(self.admitted[team.name])
         window_ends = (bisect_right(times, at + BOUNDS.window - 1e-9) for at in times)
-        return max((end - place for place, end in enumerate(window_ends)), default=0)
+        return max((end - start for start, end in enumerate(window_ends)), default=0)
 
 
 def window_limit(quota: Quota) -> float:
