--- a/src/hoisthook/mesh/admitted_exchange.py
+++ b/src/hoisthook/mesh/admitted_exchange.py
@@ -11,7 +11,7 @@
 from hoisthook.exceptions import BrokenExchangeError
 from hoisthook.mesh.buffered_exchange import BODYLESS_METHODS
 from hoisthook.mesh.buffered_exchange import read_buffered
-from hoisthook.mesh.hop_header import wait_of
+from hoisthook.mesh.hop_header import parse_wait_seconds
 from hoisthook.node.call import Lost
 from hoisthook.node.call import Refused
 from hoisthook.result_code import ResultCode
@@ -143,7 +143,9 @@
             (going, processing), timeout=silence, return_when=asyncio.FIRST_COMPLETED
         )
         if not going.done() and processing.done():
-            await asyncio.wait((going,), timeout=wait_of(processing.result()) + ADMISSION_SECONDS)
+            await asyncio.wait(
+                (going,), timeout=parse_wait_seconds(processing.result()) + ADMISSION_SECONDS
+            )
         return going.done()
 
     def _first_bytes(self) -> bytes:
--- a/src/hoisthook/mesh/hop_header.py
+++ b/src/hoisthook/mesh/hop_header.py
@@ -1,4 +1,4 @@
-"""The headers between the node that took a request and the node beside its backend server."""
+"""Headers between the ingress node of a request and the node of its backend server."""
 
 from __future__ import annotations
 
@@ -24,21 +24,21 @@
 RESULT = b"hoisthook-result"
 RETRY_AFTER_MS = b"hoisthook-retry-after-ms"
 WAIT_MS = b"hoisthook-wait-ms"
-FIELDS = 12
-# The last one is left out where no team asks.
-FIELDS_WITH_TEAM = 13
+FIELD_COUNT = 12
+# The team is the last field, left out if the request has none.
+FIELD_COUNT_WITH_TEAM = 13
 MILLIS = 1000.0
 PERCENT = 100.0
-IDLE = "i"
+IDLE_SUFFIX = "i"
 
 
 def wait_headers(seconds: float) -> list[Header]:
-    """Return what a node says that keeps a request waiting for some time."""
+    """Return the headers by which a node announces how long it may keep a request waiting."""
     return [(WAIT_MS, b"%d" % round(seconds * MILLIS))]
 
 
-def wait_of(headers: list[Header]) -> float:
-    """Return for how many seconds a request may be kept waiting; 0 if nothing is said."""
+def parse_wait_seconds(headers: list[Header]) -> float:
+    """Return how many seconds a request may be kept waiting; 0 if no header says so."""
     for name, value in headers:
         if name == WAIT_MS and value.isdigit():
             return int(value) / MILLIS
@@ -46,47 +46,47 @@
 
 
 class Admission(Enum):
-    """How a node beside a backend server is to admit a request."""
+    """How the target node is to admit a request."""
 
     DIRECT = "d"
-    """Only if it starts at once and is likely to end in time."""
+    """Admit it only if it can start at once and is likely to finish in time."""
 
     QUEUE = "q"
-    """It may wait for a slot, and may run slowly."""
+    """It may wait for a slot and may be executed slowly."""
 
 
 @dataclass(frozen=True, slots=True)
 class HopHeader:
-    """What a node says of a request that it hands to another; times in seconds.
+    """What the ingress node sends along with a request that it forwards to another node.
 
     Attributes
     ----------
     service : ServiceName
-        Who is to run it; a node beside another service refuses.
+        Service that is to run the request; a node of another service refuses it.
     caller_service : ServiceName
-        The service beside which the request began.
+        Service of the backend server local to the ingress node.
     route : RouteName
-        By which its usual duration is learned.
+        Matched route; the usual duration of requests is tracked by route.
     request_id : RequestId
-        The caller's.
+        Id that the caller gave the request.
     admission : Admission
-        Whether it may wait.
+        Whether the request may wait for a slot.
     priority : int
         Rank; 0 is the most urgent.
     time_left : float
-        Until its deadline.
+        Seconds until the deadline.
     target_left : float
-        Until its target latency is over.
+        Seconds left of the target latency; negative once it is exceeded.
     configuration : int
-        Version in force at the sender.
+        Configuration version in force at the sender.
     team : TeamName or None
-        Who asks, if that is known.
+        Team that sent the request, if known.
     arrival : Arrival
-        What is known of its earlier tries.
+        What is known of the request's earlier tries.
     idle_observation : IdleObservation
-        What ran beside the sender when it came.
+        Whether the sender's local backend server was idle when the request arrived.
     by_repeat : float
-        Chance that it is a call of a run that is a repeat itself.
+        Probability that the request is a call made by the execution of a repeat, 0 to 1.
     """
 
     service: ServiceName
@@ -104,7 +104,7 @@
     by_repeat: float = 0.0
 
     def encode(self) -> bytes:
-        """Return the header's value; times in whole milliseconds."""
+        """Return the value of the header, with times in whole milliseconds."""
         parts = [
             self.service,
             self.caller_service,
@@ -117,7 +117,7 @@
             str(self.configuration),
             self.arrival.value,
             f"{round(self.idle_observation.share * PERCENT)}"
-            f"{IDLE if self.idle_observation.is_idle else ''}",
+            f"{IDLE_SUFFIX if self.idle_observation.is_idle else ''}",
             str(round(self.by_repeat * PERCENT)),
         ]
         if self.team is not None:
@@ -126,9 +126,9 @@
 
     @classmethod
     def decode(cls, value: bytes) -> HopHeader | None:
-        """Return the header, or None if the value is none."""
+        """Return the decoded header, or None if the value is malformed."""
         parts = value.decode("latin-1").split(" ")
-        if len(parts) not in (FIELDS, FIELDS_WITH_TEAM):
+        if len(parts) not in (FIELD_COUNT, FIELD_COUNT_WITH_TEAM):
             return None
         try:
             return cls(
@@ -142,14 +142,14 @@
                 target_left=int(parts[7]) / MILLIS,
                 configuration=int(parts[8]),
                 arrival=Arrival(parts[9]),
-                idle_observation=_idle_observation(parts[10]),
+                idle_observation=_decode_idle_observation(parts[10]),
                 by_repeat=int(parts[11]) / PERCENT,
-                team=TeamName(unquote(parts[12])) if len(parts) == FIELDS_WITH_TEAM else None,
+                team=TeamName(unquote(parts[12])) if len(parts) == FIELD_COUNT_WITH_TEAM else None,
             )
         except ValueError:
             return None
 
 
-def _idle_observation(value: str) -> IdleObservation:
-    is_idle = value.endswith(IDLE)
-    return IdleObservation(int(value.removesuffix(IDLE)) / PERCENT, is_idle)
+def _decode_idle_observation(value: str) -> IdleObservation:
+    is_idle = value.endswith(IDLE_SUFFIX)
+    return IdleObservation(int(value.removesuffix(IDLE_SUFFIX)) / PERCENT, is_idle)
--- a/src/hoisthook/mesh/ingress.py
+++ b/src/hoisthook/mesh/ingress.py
@@ -1,4 +1,4 @@
-"""Takes callers' requests, routes them, and answers."""
+"""Accepts callers' requests, routes them and sends the responses."""
 
 from __future__ import annotations
 
@@ -41,71 +41,73 @@
     """Admits teams' requests within their quotas."""
 
     async def admit(self, team: Team, rank: int) -> Token | OverQuota | None:
-        """Return what admits a request, or why it is not admitted; None where any is.
+        """Return the token that a request spends, or a rejection if its team is over quota.
+
+        Returns None if the team has no quota, so that the request is admitted without a token.
 
         Parameters
         ----------
         team : Team
-            Who asks.
+            Team that the request counts against.
         rank : int
-            Of the request among those of its team; 0 is the most urgent.
+            Rank of the request among those of its team; 0 is the most urgent.
         """
 
     def not_run(self, team: Team, token: Token) -> None:
-        """Take in that a request that was admitted has not run."""
+        """Return the token of a request that was admitted but not executed."""
 
 
-# A configuration reaches a node within a second or so of its start.
+# A node usually receives its configuration within about a second of its start.
 NO_CONFIGURATION_RETRY_SECONDS = 0.3
-# Used where operators set no bound: the largest body that a node holds.
+# Largest request body that a node buffers if operators set no limit.
 DEFAULT_MAX_BODY_BYTES = 64 * 1024 * 1024
 
 
 @dataclass(slots=True)
-class _Asked:
-    """A request that may be served: what it asks for, who asks, and when that came."""
+class _AcceptedRequest:
+    """A request that has a route and, if teams are configured, has passed the key check."""
 
     request: CallerRequest
     route: Route
     configuration: TrafficConfiguration
     team: Team | None
     received: float
-    # By which it is counted towards its team's quota.
+    # Counts the request towards its team's quota; None if it spends none.
     token: Token | None = None
 
     @property
     def rank(self) -> int:
-        """Return its rank; 0 is the most urgent."""
+        """Return the rank of the request; 0 is the most urgent."""
         if not self.configuration.teams:
             return self.route.priority
         return rank_of(self.team, self.route.priority)
 
 
 class Ingress:
-    """The node's side towards callers.
+    """Serves the callers that are connected to this node.
 
     Parameters
     ----------
     service : ServiceName
-        The service beside which these callers are.
+        Service of the local backend server, sent along as the callers' service.
     wire : CallerWire
-        How they speak.
+        Decodes callers' requests and encodes refusals.
     configuration : ConfigurationHolder
-        The routes.
+        Holds the current routes, teams and limits.
     dispatcher : RoutedDispatcher
-        Runs requests.
+        Finds a backend server that runs a request.
     running_requests : RunningRequests
-        What runs at the backend server beside, whose calls come here.
+        Requests that run at the local backend server; the calls that they make arrive here.
     lease : KeyLease
-        Whether keys may be taken.
+        Decides whether team keys may still be accepted.
     quotas : QuotaGate
-        Whose requests go beyond what their team may ask.
+        Rejects requests of teams that are over their quota.
     link_pacer : LinkPacer
-        When large answers go out.
+        Spaces out the pieces of large answers.
     clock : Clock
-        Monotonic, the loop's own.
+        Monotonic clock of the event loop.
     log : EventLog
-        Gets a line for each request.
+        Receives one entry per request.
     """
 
     def __init__(
@@ -135,7 +137,8 @@
 
     async def handle(self, exchange: ServerExchange) -> None:
         """Serve one request of a caller."""
-        # A request that waited behind another of its connection has less time left.
+        # The deadline counts from the arrival of a request: a pipelined one may have waited for the
+        # request before it on the same connection.
         received = exchange.arrived
         request = self._wire.decode(exchange.head)
         if isinstance(request, ResultCode):
@@ -144,54 +147,52 @@
         configuration = self._configuration.current
         if configuration is None:
             refused = Refused(ResultCode.CONFIGURATION_MISSING, NO_CONFIGURATION_RETRY_SECONDS)
-            self._conclude(exchange, request, refused, received)
+            self._finish(exchange, request, refused, received)
             return
         route = configuration.table.match(request.host, request.path)
         if route is None:
             refused = Refused(ResultCode.ROUTE_UNKNOWN, 0.0)
-            self._conclude(
-                exchange, request, refused, received, configuration=configuration.version
-            )
+            self._finish(exchange, request, refused, received, configuration=configuration.version)
             return
         teams = configuration.teams
         team = teams.holder(request.key)
         if teams and team is None and not route.public:
-            self._turn_away(exchange, request, route, received)
+            self._refuse_unknown_key(exchange, request, route, received)
             return
         if team is not None and not self._lease.holds(self._clock.now()):
             refused = Refused(ResultCode.TEAM_KEYS_UNCONFIRMED, NO_CONFIGURATION_RETRY_SECONDS)
-            self._conclude(exchange, request, refused, received, route=route.name, team=team.name)
+            self._finish(exchange, request, refused, received, route=route.name, team=team.name)
             return
         if not teams:
             request.headers += request.credentials
-        asked = _Asked(request, route, configuration, team, received)
-        await self._serve(exchange, asked)
+        accepted = _AcceptedRequest(request, route, configuration, team, received)
+        await self._serve(exchange, accepted)
 
-    async def _serve(self, exchange: ServerExchange, asked: _Asked) -> None:
-        request = asked.request
-        route = asked.route
-        configuration = asked.configuration
-        received = asked.received
+    async def _serve(self, exchange: ServerExchange, accepted: _AcceptedRequest) -> None:
+        request = accepted.request
+        route = accepted.route
+        configuration = accepted.configuration
+        received = accepted.received
         time_left = route.timeout
         if request.time_left is not None:
             time_left = min(time_left, request.time_left)
         deadline = received + time_left
         if deadline <= self._clock.now():
-            self._conclude_unserved(exchange, asked, Refused(ResultCode.DEADLINE_PASSED, 0.0))
+            self._finish_unserved(exchange, accepted, Refused(ResultCode.DEADLINE_PASSED, 0.0))
             return
         call: RoutedCall | None = None
         sent = False
         try:
             async with asyncio.timeout_at(deadline):
-                over = await self._over_quota(asked)
-                if over is not None:
-                    self._conclude_unserved(exchange, asked, over)
+                over_quota = await self._check_quota(accepted)
+                if over_quota is not None:
+                    self._finish_unserved(exchange, accepted, over_quota)
                     return
                 body = await _read_body(exchange, configuration)
                 if isinstance(body, Refused):
-                    self._conclude_unserved(exchange, asked, body)
+                    self._finish_unserved(exchange, accepted, body)
                     return
-                call = self._call(exchange, asked, body, deadline)
+                call = self._make_call(exchange, accepted, body, deadline)
                 sent = True
                 done = await self._dispatcher.dispatch(call)
         except BrokenExchangeError:
@@ -199,19 +200,19 @@
             return
         except TimeoutError:
             if not sent:
-                self._not_run(asked)
-            late = Lost(ResultCode.DEADLINE_DURING_RUN)
-            outcome = late if sent else Refused(ResultCode.REQUEST_TIMEOUT, 0.0)
-            self._conclude_unserved(exchange, asked, outcome)
+                self._return_token(accepted)
+            lost = Lost(ResultCode.DEADLINE_DURING_RUN)
+            outcome = lost if sent else Refused(ResultCode.REQUEST_TIMEOUT, 0.0)
+            self._finish_unserved(exchange, accepted, outcome)
             return
         if isinstance(done.outcome, Refused):
-            self._not_run(asked)
+            self._return_token(accepted)
         if isinstance(done.outcome, CompleteAnswer):
             answer = done.outcome
             await exchange.respond_paced(
                 answer.status, answer.headers, answer.body, self._link_pacer
             )
-        self._conclude(
+        self._finish(
             exchange,
             request,
             done.outcome,
@@ -227,12 +228,12 @@
             parent=call.parent,
         )
 
-    def _call(
-        self, exchange: ServerExchange, asked: _Asked, body: bytes, deadline: float
+    def _make_call(
+        self, exchange: ServerExchange, accepted: _AcceptedRequest, body: bytes, deadline: float
     ) -> RoutedCall:
-        request = asked.request
-        route = asked.route
-        rank = asked.rank
+        request = accepted.request
+        route = accepted.route
+        rank = accepted.rank
         self._running_requests.arrived(route.name)
         parent = self._running_requests.parent_of(route.name)
         return RoutedCall(
@@ -244,11 +245,11 @@
             target=exchange.head.target,
             headers=request.headers,
             body=body,
-            received=asked.received,
+            received=accepted.received,
             deadline=deadline,
             target_latency=route.target_latency,
             priority=rank if parent is None else min(rank, parent.priority),
-            team=None if asked.team is None else asked.team.name,
+            team=None if accepted.team is None else accepted.team.name,
             parent=None if parent is None else parent.request_id,
             repeatable=route.repeatable,
             max_attempts=route.max_attempts,
@@ -256,11 +257,11 @@
             by_repeat=self._running_requests.repeated(route.name),
         )
 
-    def _turn_away(
+    def _refuse_unknown_key(
         self, exchange: ServerExchange, request: CallerRequest, route: Route, received: float
     ) -> None:
-        """Refuse a request without a key that a team holds, before it costs anybody anything."""
-        self._conclude(
+        """Refuse a request without a key of a known team, before it uses any resources."""
+        self._finish(
             exchange,
             request,
             Refused(ResultCode.TEAM_KEY_UNKNOWN, 0.0),
@@ -269,30 +270,35 @@
             key=None if request.key is None else logged_digest(request.key),
         )
 
-    async def _over_quota(self, asked: _Asked) -> Refused | None:
-        """Refuse what goes beyond a quota before it costs a slot, a hop or a queue place."""
-        if asked.team is None:
+    async def _check_quota(self, accepted: _AcceptedRequest) -> Refused | None:
+        """Refuse a request over its team's quota before it takes a slot, a hop or a queue place."""
+        if accepted.team is None:
             return None
-        admitted = await self._quotas.admit(asked.team, asked.route.priority)
+        admitted = await self._quotas.admit(accepted.team, accepted.route.priority)
         if isinstance(admitted, OverQuota):
             return Refused(admitted.code, admitted.retry_after)
-        asked.token = admitted
+        accepted.token = admitted
         return None
 
-    def _not_run(self, asked: _Asked) -> None:
-        """Leave what was admitted and refused by all backend servers to its team."""
-        if asked.team is not None and asked.token is not None:
-            self._quotas.not_run(asked.team, asked.token)
+    def _return_token(self, accepted: _AcceptedRequest) -> None:
+        """Return the token of a request that was not executed to its team."""
+        if accepted.team is not None and accepted.token is not None:
+            self._quotas.not_run(accepted.team, accepted.token)
 
-    def _conclude_unserved(
-        self, exchange: ServerExchange, asked: _Asked, outcome: Refused | Lost
+    def _finish_unserved(
+        self, exchange: ServerExchange, accepted: _AcceptedRequest, outcome: Refused | Lost
     ) -> None:
-        team = None if asked.team is None else asked.team.name
-        self._conclude(
-            exchange, asked.request, outcome, asked.received, route=asked.route.name, team=team
+        team = None if accepted.team is None else accepted.team.name
+        self._finish(
+            exchange,
+            accepted.request,
+            outcome,
+            accepted.received,
+            route=accepted.route.name,
+            team=team,
         )
 
-    def _conclude(
+    def _finish(
         self,
         exchange: ServerExchange,
         request: CallerRequest,
@@ -302,7 +308,7 @@
     ) -> None:
         code = ResultCode.OK
         if isinstance(outcome, CompleteAnswer):
-            # It has been delivered.
+            # The answer has been sent already.
             fields["status"] = outcome.status
         else:
             code = outcome.code
@@ -328,10 +334,10 @@
     exchange: ServerExchange, configuration: TrafficConfiguration
 ) -> bytes | Refused:
     limits = configuration.limits
-    bound = DEFAULT_MAX_BODY_BYTES if limits is None else limits.max_body_bytes
+    max_bytes = DEFAULT_MAX_BODY_BYTES if limits is None else limits.max_body_bytes
     data = b""
     while chunk := await exchange.body.read():
         data += chunk
-        if len(data) > bound:
+        if len(data) > max_bytes:
             return Refused(ResultCode.BODY_TOO_LARGE, 0.0)
     return data
--- a/src/hoisthook/mesh/peer_choice.py
+++ b/src/hoisthook/mesh/peer_choice.py
@@ -1,4 +1,4 @@
-"""Which node a request is sent to next."""
+"""Chooses the node that a request is sent to next."""
 
 from __future__ import annotations
 
@@ -20,41 +20,43 @@
     from hoisthook.port.clock import Randomness
     from hoisthook.traffic.evacuations import Evacuations
 
-# A report this fresh is believed when it says that a peer would refuse.
-FRESH_SECONDS = 0.08
-# Scores this near to the best are as good; the choice among them is drawn.
-TOLERANCE = 0.05
-# What a backend server adds to its score for each share of failed answers above what is usual for
-# its service.
-FAILING_WEIGHT = 2.0
+# A node is assumed to refuse a request only on a load report that is at most this old.
+MAX_REPORT_AGE_SECONDS = 0.08
+# Scores within this distance of the best count as equal; a node is drawn from them at random.
+SCORE_TOLERANCE = 0.05
+# Factor by which the share of failed answers above the usual share of the service raises a score.
+FAILURE_WEIGHT = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class ChoiceSettings:
-    """What a choice weighs.
+    """Weights of a choice.
 
     Attributes
     ----------
     data_centre_cost : float
-        What a request to another data centre costs, as a share of its target latency.
+        Cost of sending a request to another data centre, as a share of its target latency.
     """
 
     data_centre_cost: float
 
 
 class PeerChoice:
-    """The node with the least expected time, in shares of the target latency.
+    """Chooses the node with the lowest expected response time.
+
+    A node's score is its expected time as a share of the target latency, with additions for
+    another data centre and for failed answers; the lowest is best.
 
     Parameters
     ----------
     directory : PeerDirectory
-        Who is there.
+        Known nodes, by the service of their backend server.
     settings : ChoiceSettings
-        What is weighed.
+        Weights.
     evacuations : Evacuations
-        Data centres to which nothing goes.
+        Data centres that receive no requests.
     randomness : Randomness
-        Draws among equals.
+        Draws among nodes with equal scores.
     """
 
     def __init__(
@@ -69,51 +71,56 @@
         self._settings = settings
         self._randomness = randomness
 
-    def direct(self, call: RoutedCall, tried: Collection[NodeId], now: float) -> PeerView | None:
-        """Return an open node that is likely to start the request at once, or None."""
+    def direct(self, call: RoutedCall, excluded: Collection[NodeId], now: float) -> PeerView | None:
+        """Return an available node that is likely to start the request at once, or None."""
         views = [
-            view for view in self._open(call, tried, now) if not _would_refuse(view, call, now)
+            view
+            for view in self._available(call, excluded, now)
+            if not _is_likely_to_refuse(view, call, now)
         ]
         return self._best(views, call, now)
 
-    def queue(self, call: RoutedCall, left_out: Collection[NodeId], now: float) -> PeerView | None:
-        """Return the node at which the request is likely to end first, or None.
+    def queue(self, call: RoutedCall, excluded: Collection[NodeId], now: float) -> PeerView | None:
+        """Return the node at which the request is likely to finish first, or None.
 
-        Nodes that were closed for a while are taken if no other is left.
+        Suspected and temporarily closed nodes are considered only if no other node is left.
         """
-        views = list(self._open(call, left_out, now))
+        views = list(self._available(call, excluded, now))
         if not views:
-            views = [v for v in self._allowed(call.service) if v.peer.node not in left_out]
+            views = [
+                v for v in self._outside_evacuations(call.service) if v.peer.node not in excluded
+            ]
         if call.arrival.is_repeat:
             views = [view for view in views if view.no_repeats_until <= now]
         return self._best(views, call, now)
 
     def to_probe(self, call: RoutedCall, now: float) -> PeerView | None:
-        """Return a suspected node that a connection should be tried to, or None.
+        """Return a suspected node to which a test connection should be opened, or None.
 
-        Drawn as often as the node would be chosen were it not suspected, so that probes are
-        no more than the requests that used to find out, and stop where nothing is asked.
+        A node is returned about as often as it would be chosen if it were not suspected, so that
+        there are never more probes than requests that would have gone to the node, and none for
+        a service without requests.
         """
-        serving = self._allowed(call.service)
-        due = [view for view in serving if view.suspected and view.closed_until <= now]
-        if not due:
+        serving = self._outside_evacuations(call.service)
+        probeable = [view for view in serving if view.suspected and view.closed_until <= now]
+        if not probeable:
             return None
-        drawn = self._randomness.randrange(len(serving))
-        return due[drawn] if drawn < len(due) else None
+        index = self._randomness.randrange(len(serving))
+        return probeable[index] if index < len(probeable) else None
 
-    def _open(
-        self, call: RoutedCall, left_out: Collection[NodeId], now: float
+    def _available(
+        self, call: RoutedCall, excluded: Collection[NodeId], now: float
     ) -> Iterator[PeerView]:
-        for view in self._allowed(call.service):
+        for view in self._outside_evacuations(call.service):
             if view.suspected or view.closed_until > now:
                 continue
             if call.arrival.is_repeat and view.no_repeats_until > now:
                 continue
-            if view.peer.node not in left_out:
+            if view.peer.node not in excluded:
                 yield view
 
-    def _allowed(self, service: ServiceName) -> Collection[PeerView]:
-        """Return the nodes of a service that are not in an evacuated data centre."""
+    def _outside_evacuations(self, service: ServiceName) -> Collection[PeerView]:
+        """Return the nodes of a service that are outside evacuated data centres."""
         serving = self._directory.serving(service)
         if not self._evacuations.data_centres:
             return serving
@@ -122,42 +129,46 @@
     def _best(self, views: list[PeerView], call: RoutedCall, now: float) -> PeerView | None:
         if not views:
             return None
-        usual = self._usual_failing(call, now)
-        scored = [(self._score(view, usual, now), view) for view in views]
-        bound = min(score for score, _ in scored) + TOLERANCE
-        near = [view for score, view in scored if score <= bound]
-        return near[self._randomness.randrange(len(near))]
-
-    def _usual_failing(self, call: RoutedCall, now: float) -> float:
-        """Return the share of failed answers that is usual for a service: the lower median.
-
-        Load pattern: what the work calls fails, so that all backend servers of a service answer
-        with failures. Compared with none, the known ones, which are near, seemed worse than
-        those never heard from: 47 to 95 % of the requests went to other data centres, for 1 %
-        before, and were served no better there.
+        usual_failure_share = self._usual_failure_share(call, now)
+        scored = [(self._score(view, usual_failure_share, now), view) for view in views]
+        max_score = min(score for score, _ in scored) + SCORE_TOLERANCE
+        best = [view for score, view in scored if score <= max_score]
+        return best[self._randomness.randrange(len(best))]
+
+    def _usual_failure_share(self, call: RoutedCall, now: float) -> float:
+        """Return the usual share of failed answers of a service: the lower median of its nodes.
+
+        When a service that all its backend servers depend on fails, all of them answer with
+        failures. Compared with zero, the near nodes with a load report then scored worse than
+        nodes without one: 47 to 95 % of the requests went to other data centres, compared with
+        1 % before, and were served no better there.
         """
         serving = self._directory.serving(call.service)
-        known = sorted(view.expected_failing(now) for view in serving if view.load is not None)
-        return known[(len(known) - 1) // 2] if known else 0.0
-
-    def _score(self, view: PeerView, usual_failing: float, now: float) -> float:
-        share = view.expected_load_share(now)
-        score = WORK_SHARE_OF_TARGET * view.expected_slowdown(now) * (1.0 + _crowding(share))
+        failure_shares = sorted(
+            view.expected_failing(now) for view in serving if view.load is not None
+        )
+        return failure_shares[(len(failure_shares) - 1) // 2] if failure_shares else 0.0
+
+    def _score(self, view: PeerView, usual_failure_share: float, now: float) -> float:
+        load_share = view.expected_load_share(now)
+        score = (
+            WORK_SHARE_OF_TARGET * view.expected_slowdown(now) * (1.0 + _load_slowdown(load_share))
+        )
         if not view.same_data_centre:
             score += self._settings.data_centre_cost
-        return score + FAILING_WEIGHT * max(0.0, view.expected_failing(now) - usual_failing)
+        return score + FAILURE_WEIGHT * max(0.0, view.expected_failing(now) - usual_failure_share)
 
 
-def _crowding(share: float) -> float:
-    """Return how much longer work takes where a share of the slots is in use."""
-    if share < 1.0:
-        return 0.2 * share
-    return 0.2 + 2.0 * (share - 1.0)
+def _load_slowdown(load_share: float) -> float:
+    """Return the relative increase of the execution time at a given share of slots in use."""
+    if load_share < 1.0:
+        return 0.2 * load_share
+    return 0.2 + 2.0 * (load_share - 1.0)
 
 
-def _would_refuse(view: PeerView, call: RoutedCall, now: float) -> bool:
+def _is_likely_to_refuse(view: PeerView, call: RoutedCall, now: float) -> bool:
     load = view.load
-    if load is None or view.age(now) > FRESH_SECONDS:
+    if load is None or view.age(now) > MAX_REPORT_AGE_SECONDS:
         return False
     if load.running >= load.limit or load.waiting > 0:
         return True
--- a/src/hoisthook/mesh/peer_hop.py
+++ b/src/hoisthook/mesh/peer_hop.py
@@ -1,4 +1,4 @@
-"""Sends requests to the node beside a chosen backend server."""
+"""Sends requests to the node of a chosen backend server."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     from hoisthook.port.clock import Clock
     from hoisthook.port.event_log import EventLog
 
-# Instances are a few milliseconds apart; one that takes longer is down or cut off.
+# Instances are a few milliseconds apart; one that takes longer is down or partitioned.
 CONNECT_SECONDS = 0.1
 DEFAULT_RETRY_SECONDS = 0.05
 _CLOSING_CODES = frozenset(
@@ -50,32 +50,32 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Sent:
-    """A request on its way to another node."""
+class _SentRequest:
+    """A request that has been sent to another node."""
 
     view: PeerView
     call: RoutedCall
     connection: ClientConnection
-    moment: float
+    sent_at: float
 
 
 class PeerHop:
-    """Runs a request at a node: in this process if it is beside, else one hop away.
+    """Runs requests at the local backend server, or one hop away at another node's.
 
     Parameters
     ----------
     pool : ClientPool
         Connections to other nodes.
     local_backend : BackendLink
-        This node's own backend server.
+        Link to the local backend server.
     directory : PeerDirectory
-        Told of nodes that are not what they were.
+        Known nodes; notified of those that are unreachable or serve something else by now.
     sync : PeerSync
-        Whose configuration version is told to other nodes, and which learns theirs.
+        Provides the configuration version that is sent to other nodes, and receives theirs.
     clock : Clock
-        Monotonic, the loop's own.
+        Monotonic clock of the event loop.
     log : EventLog
-        Gets a line for each node that cannot be reached.
+        Receives an entry for each node that is unreachable or silent, or that loses a request.
 
     Attributes
     ----------
@@ -102,12 +102,12 @@
         self.leaving = False
 
     def close(self) -> None:
-        """Stop the probes that are under way."""
+        """Cancel the running probes."""
         self._probes.close()
 
     def probe(self, view: PeerView) -> None:
-        """Find out beside the requests whether a suspected node takes connections again."""
-        # No second one meanwhile.
+        """Test in the background whether a suspected node accepts connections again."""
+        # Prevents a second probe while this one runs.
         view.close_until(self._clock.now() + CONNECT_SECONDS)
         self._probes.start(self._probe(view))
 
@@ -121,7 +121,7 @@
     async def run(
         self, view: PeerView, call: RoutedCall, admission: Admission
     ) -> Outcome | PendingOutcome:
-        """Run the request there and learn from what comes back."""
+        """Run the request at the node and update what is known of that node."""
         outcome: Outcome | PendingOutcome
         view.sent()
         try:
@@ -132,10 +132,10 @@
                 outcome = await self._run_remote(view, call, admission)
         finally:
             view.ended()
-        self._note(view, outcome)
+        self._update_view(view, outcome)
         return outcome
 
-    def _note(self, view: PeerView, outcome: Outcome | PendingOutcome) -> None:
+    def _update_view(self, view: PeerView, outcome: Outcome | PendingOutcome) -> None:
         now = self._clock.now()
         if isinstance(outcome, CompleteAnswer):
             view.served()
@@ -174,47 +174,49 @@
             (hop_header.HOP, header.encode()),
             held_back=call.held_back or view.may_be_silent(now),
         )
-        sent = _Sent(view, call, connection, now)
-        answered = await exchange.run(target_left=header.target_left, timeout=header.time_left)
-        if answered is not None:
-            return self._take(sent, answered)
+        sent = _SentRequest(view, call, connection, now)
+        reply = await exchange.run(target_left=header.target_left, timeout=header.time_left)
+        if reply is not None:
+            return self._resolve(sent, reply)
         view.silent(self._clock.now())
-        self._note_unreachable(view)
-        self._log.decision("hop_unheard", **self._told(sent))
-        return PendingOutcome(asyncio.ensure_future(self._hear_out(sent, exchange)))
+        self._mark_unreachable(view)
+        self._log.decision("hop_unheard", **self._log_fields(sent))
+        return PendingOutcome(asyncio.ensure_future(self._await_late_outcome(sent, exchange)))
 
-    async def _hear_out(self, sent: _Sent, exchange: AdmittedExchange) -> Outcome:
-        """Wait for what a silent node says of a request after all."""
+    async def _await_late_outcome(self, sent: _SentRequest, exchange: AdmittedExchange) -> Outcome:
+        """Await the outcome of a request that was sent to a silent node."""
         sent.view.sent()
-        checking = asyncio.ensure_future(self._close_if_gone(sent))
+        check = asyncio.ensure_future(self._close_if_unreachable(sent))
         try:
-            answered = await exchange.hear_out()
+            reply = await exchange.hear_out()
         finally:
-            checking.cancel()
+            check.cancel()
             sent.view.ended()
-        outcome = self._take(sent, answered)
-        if not isinstance(answered, Lost):
+        outcome = self._resolve(sent, reply)
+        if not isinstance(reply, Lost):
             node = sent.view.peer.node
             self._directory.findings.note(node, self._clock.now(), reached=True)
-            self._log.decision("hop_heard", **self._told(sent))
-        self._note(sent.view, outcome)
+            self._log.decision("hop_heard", **self._log_fields(sent))
+        self._update_view(sent.view, outcome)
         return outcome
 
-    async def _close_if_gone(self, sent: _Sent) -> None:
-        """Hear no further where a node takes no connections either, unless this one leaves."""
-        opened = await self._open(sent.view)
-        if not isinstance(opened, Refused):
-            self._pool.keep(sent.view.address, opened)
+    async def _close_if_unreachable(self, sent: _SentRequest) -> None:
+        """Give up a silent node that accepts no connections, unless this node is stopping."""
+        probe_connection = await self._open(sent.view)
+        if not isinstance(probe_connection, Refused):
+            self._pool.keep(sent.view.address, probe_connection)
         elif not self.leaving:
             sent.connection.close()
 
-    def _take(self, sent: _Sent, answered: tuple[AnswerHead, bytes] | Refused | Lost) -> Outcome:
-        if isinstance(answered, Lost | Refused):
-            self._note_lost(sent, answered)
-            return answered
+    def _resolve(
+        self, sent: _SentRequest, reply: tuple[AnswerHead, bytes] | Refused | Lost
+    ) -> Outcome:
+        if isinstance(reply, Lost | Refused):
+            self._record_lost(sent, reply)
+            return reply
         self._pool.keep(sent.view.address, sent.connection)
-        head, body = answered
-        return self._read(sent.view, sent.call, head, body)
+        head, body = reply
+        return self._decode_answer(sent.view, sent.call, head, body)
 
     async def _connect(self, view: PeerView) -> ClientConnection | Refused:
         connection = self._pool.take_idle(view.address)
@@ -233,19 +235,19 @@
             )
             return Refused(ResultCode.UNREACHABLE, seconds)
 
-    def _note_unreachable(self, view: PeerView) -> None:
+    def _mark_unreachable(self, view: PeerView) -> None:
         view.unreachable(self._clock.now())
         self._directory.findings.note(view.peer.node, self._clock.now(), reached=False)
-        # Other connections to it may be as dead, and each would cost a request as long.
+        # Its other idle connections may be dead too, and each would delay a request as long.
         self._pool.forget(view.address)
 
-    def _note_lost(self, sent: _Sent, lost: Lost | Refused) -> None:
+    def _record_lost(self, sent: _SentRequest, lost: Lost | Refused) -> None:
         if isinstance(lost, Refused) or lost.is_silent:
             sent.view.silent(self._clock.now())
         if lost.code is not ResultCode.DEADLINE_DURING_RUN:
-            self._note_unreachable(sent.view)
+            self._mark_unreachable(sent.view)
         if isinstance(lost, Refused):
-            self._log.decision("hop_silent", code=lost.code.number, **self._told(sent))
+            self._log.decision("hop_silent", code=lost.code.number, **self._log_fields(sent))
             return
         self._log.decision(
             "hop_lost",
@@ -253,18 +255,20 @@
             admitted=lost.admitted,
             silent=lost.is_silent,
             leaving=self.leaving,
-            **self._told(sent),
+            **self._log_fields(sent),
         )
 
-    def _told(self, sent: _Sent) -> dict[str, object]:
-        """Return what each line about a request at another node says."""
+    def _log_fields(self, sent: _SentRequest) -> dict[str, object]:
+        """Return the log fields of all entries about a request at another node."""
         return {
             "request": sent.call.request_id,
             "peer": sent.view.peer.node,
-            "waited_ms": round((self._clock.now() - sent.moment) * 1000.0, 1),
+            "waited_ms": round((self._clock.now() - sent.sent_at) * 1000.0, 1),
         }
 
-    def _read(self, view: PeerView, call: RoutedCall, head: AnswerHead, body: bytes) -> Outcome:
+    def _decode_answer(
+        self, view: PeerView, call: RoutedCall, head: AnswerHead, body: bytes
+    ) -> Outcome:
         load = NodeLoad.decode(head.get(hop_header.LOAD) or b"")
         if load is not None:
             view.reported(load, self._clock.now())
@@ -274,7 +278,7 @@
         result = head.get(hop_header.RESULT)
         if result is None:
             if load is None:
-                # Something else than a node answers there now.
+                # A program other than a node answers at this address now.
                 self._directory.forget(view.peer.node, "not a node")
                 return Lost(ResultCode.ANSWER_SPOILED)
             return CompleteAnswer(head.status, _backend_headers(head), body)
--- a/src/hoisthook/mesh/routed_call.py
+++ b/src/hoisthook/mesh/routed_call.py
@@ -1,4 +1,4 @@
-"""A request on its way along its route."""
+"""A request that has been routed to a service."""
 
 from __future__ import annotations
 
@@ -22,52 +22,55 @@
 
 @dataclass
 class RoutedCall:
-    """One request with all that decides about it; times are on the node's clock.
+    """One request with everything that routing and admission decisions depend on.
+
+    Times are in seconds on the clock of the node that holds the object.
 
     Attributes
     ----------
     request_id : RequestId
-        The caller's.
+        Id that the caller gave the request.
     route : RouteName
-        By which its usual duration is learned.
+        Matched route; the usual duration of requests is tracked by route.
     service : ServiceName
-        Who is to run it.
+        Service that is to run the request.
     caller_service : ServiceName
-        The service beside which it began.
+        Service of the backend server local to the ingress node.
     method, target : bytes
-        As the caller sent them.
+        Method and request target as the caller sent them.
     headers : list of Header
-        End to end, without those that the system sets.
+        End-to-end headers, without those that the system sets.
     body : bytes
-        Whole.
+        Complete body.
     received : float
-        When the first node took it up.
+        When this node received the request.
     deadline : float
-        When its answer is of no use any more.
+        Time after which an answer is useless.
     target_latency : float
-        Seconds from ``received`` within which an answer has its full worth.
+        Seconds from ``received`` within which the request should be answered.
     priority : int
         Rank; 0 is the most urgent.
     repeatable : bool
-        Whether it may run more than once.
+        Whether the request may be executed more than once.
     max_attempts : int
-        Backend servers that it may be sent to, at most.
+        Maximum number of backend servers that may execute the request.
     team : TeamName or None
-        Who asks; None where teams are not told apart or none is known.
+        Team that sent the request; None if teams are not configured or the team is not known.
     parent : RequestId or None
-        The request that runs beside the first node and makes this one, if any does.
+        Request at the ingress node's local backend server that made this one as a call, if any.
     arrival : Arrival
-        What is known of its earlier tries.
+        What is known of the request's earlier tries.
     idle_observation : IdleObservation
-        What ran beside the first node when it came, by which callers' requests are told from calls.
+        Whether the ingress node's local backend server was idle when the request arrived; tells
+        callers' requests from calls that a running request made.
     by_repeat : float
-        Chance that it is a call of a run that is a repeat itself.
+        Probability that the request is a call made by the execution of a repeat, 0 to 1.
     held_back : bool
-        Whether its end is sent only to a node that has asked for it, so that it runs nowhere
-        else.
+        Whether the end of the request is sent only after a node has asked for it
+        (``100-continue``), so that no other node can execute it.
     is_complete : bool
-        Whether its body is here; false beside a backend server until one that is held back has
-        been asked for.
+        Whether the body has been received; false at the target node until it has asked for the
+        body of a request that is held back.
     """
 
     request_id: RequestId
@@ -98,12 +101,12 @@
 
     @cached_property
     def work(self) -> WorkId:
-        """Return what it asks for; the same whenever and under whatever id it comes."""
+        """Return an id of the content of the request, equal for all requests for the same work."""
         return identify(self.method, self.headers, self.target, self.body)
 
     @property
     def repeat(self) -> float:
-        """Return the chance that its run is a repeat, whose calls are repeats where they go."""
+        """Return the probability that its execution is a repeat, whose calls count as repeats."""
         return 1.0 if self.arrival.is_repeat else self.by_repeat
 
     def time_left(self, now: float) -> float:
@@ -111,5 +114,5 @@
         return self.deadline - now
 
     def target_left(self, now: float) -> float:
-        """Return the seconds until the target latency is over; negative after it."""
+        """Return the seconds left of the target latency; negative once it is exceeded."""
         return self.received + self.target_latency - now
--- a/src/hoisthook/mesh/routed_dispatcher.py
+++ b/src/hoisthook/mesh/routed_dispatcher.py
@@ -25,24 +25,24 @@
     from hoisthook.mesh.routed_call import RoutedCall
     from hoisthook.port.clock import Clock
 
-# Nodes asked whether they can start a request at once; each costs a way there and back.
+# Maximum number of nodes asked to start a request at once; each costs a network round trip.
 MAX_DIRECT_TRIES = 4
-# The same within the data centre, where the way costs 0.2 ms: of 12 near servers, each of which
-# could not start a request at once half of the time, four tries found none for 20 % of the
-# requests, which then waited at one of them for a slot.
+# The same within the data centre, where a round trip takes 0.2 ms. With 12 near servers, each
+# unable to start a request at once half of the time, four tries found none for 20 % of the
+# requests, which then had to wait in a queue.
 MAX_NEAR_TRIES = 8
 MAX_QUEUE_TRIES = 2
 NO_BACKEND_SERVER_RETRY_SECONDS = 0.3
 MIN_RETRY_AFTER_SECONDS = 0.05
-# Below this nothing can be run any more.
+# With less time left than this, no node can execute a request any more.
 MIN_TIME_LEFT_SECONDS = 0.003
-# What tells whether a service has room for repeats: an answer, or a refusal by the backend server
-# itself or for want of that room.
+# Outcomes that show whether a service has repeat budget left: None for an answer, a refusal by the
+# backend server itself, or a refusal for lack of budget.
 _DECIDED_CODES = frozenset({None, ResultCode.BACKEND_SERVER_SHED, ResultCode.RETRY_BUDGET_SPENT})
 
 
 class Hop(Protocol):
-    """Takes requests to nodes.
+    """Sends requests to nodes.
 
     Attributes
     ----------
@@ -55,28 +55,28 @@
     async def run(
         self, view: PeerView, call: RoutedCall, admission: Admission
     ) -> Outcome | PendingOutcome:
-        """Run a request at a node and learn from what comes back."""
+        """Run a request at a node and update what is known of that node."""
 
     def probe(self, view: PeerView) -> None:
-        """Find out beside the requests whether a suspected node takes connections again."""
+        """Test in the background whether a suspected node accepts connections again."""
 
 
 @dataclass(slots=True)
 class Dispatched:
-    """What became of a request.
+    """The result of dispatching a request.
 
     Attributes
     ----------
     outcome : CompleteAnswer, Refused or Lost
-        The last word.
+        Final outcome.
     tries : int
-        Nodes it was handed to.
+        Number of nodes that the request was forwarded to.
     ran : int
-        Backend servers that may have run it.
+        Number of backend servers that may have executed it.
     arrived : int
-        Backend servers that it may have reached, those that rejected it among them.
+        Number of backend servers that it may have reached, including those that rejected it.
     node : str
-        The last node.
+        Last node tried.
     """
 
     outcome: Outcome
@@ -87,100 +87,105 @@
 
 
 class RoutedDispatcher:
-    """Asks the nearest node that is likely to be fast, then others, then waits at one.
-
-    A refusal beside a backend server costs that backend server nothing, so the next
-    node is asked at once. So it is after a node that was silent or gone before it had said
-    that it runs a repeatable request: next to none of these reach a backend server, and with
-    the budget spent on them 32 of 1,700 requests of a restart of all were answered 502 though
-    none had run. A silent node is heard out beside the further tries, and the first answer counts:
-    its loop may have stood still, or the way to it be slow. What was admitted and not answered is
-    tried again only if it may be repeated and the route allows another attempt. Each try says
-    whether it would be the first to arrive; whether the service has room for others is known
-    beside its backend servers, see `hoisthook.local_backend.repeat_limit`.
+    """Tries the nearest node that is likely to be fast, then others, then queues the request.
+
+    A refusal by a node costs its backend server nothing, so the next node is tried at once. The
+    next node is also tried at once if a node became silent or its connection was lost before it
+    acknowledged that it runs a repeatable request. Hardly any such request reaches a backend
+    server: when these tries were charged to the retry budget, 32 of 1,700 requests were answered
+    502 during a restart of all nodes although none had been executed.
+
+    A silent node may only have a stalled event loop or a slow link, so its outcome is awaited
+    while further nodes are tried, and the first answer counts. A request that was admitted but
+    not answered is tried again only if it is repeatable and its route allows another attempt.
+    Each try says whether it would be the first to arrive at a backend server. The nodes of the
+    service's backend servers decide whether the repeat budget admits it, see
+    `hoisthook.local_backend.repeat_limit`.
 
     Parameters
     ----------
     choice : PeerChoice
-        Chooses nodes.
+        Chooses the next node.
     hop : Hop
-        Sends.
+        Sends requests to nodes.
     clock : Clock
-        Monotonic.
+        Monotonic clock.
     """
 
     def __init__(self, choice: PeerChoice, hop: Hop, clock: Clock) -> None:
         self._choice = choice
         self._hop = hop
         self._clock = clock
-        # Each kind of repeat has room of its own.
+        # Each kind of repeat has its own part of the budget.
         self._admission_rate_by_arrival = {
             arrival: AdmissionRate() for arrival in Arrival if arrival.is_repeat
         }
 
     async def dispatch(self, call: RoutedCall) -> Dispatched:
-        """Run the request somewhere, or say what is known of it."""
-        suspect = self._choice.to_probe(call, self._clock.now())
-        if suspect is not None:
-            self._hop.probe(suspect)
+        """Run the request at some node and return the answer, or what is known without one."""
+        suspected = self._choice.to_probe(call, self._clock.now())
+        if suspected is not None:
+            self._hop.probe(suspected)
         progress = RoutedProgress(call)
         try:
             while progress.answer is None:
-                step = self._next(call, progress)
-                if step is not None:
-                    await self._try(*step, call, progress)
-                elif not await self._hear_late(call, progress):
+                next_try = self._next_try(call, progress)
+                if next_try is not None:
+                    await self._try_node(*next_try, call, progress)
+                elif not await self._await_pending(call, progress):
                     break
         finally:
-            progress.withdraw()
-        outcome = progress.answer or self._conclude(call, progress)
+            progress.cancel_pending()
+        outcome = progress.answer or self._resolve(call, progress)
         return Dispatched(outcome, progress.tries, progress.ran, progress.arrived, progress.node)
 
-    def _next(
+    def _next_try(
         self, call: RoutedCall, progress: RoutedProgress
     ) -> tuple[PeerView, Admission] | None:
         now = self._clock.now()
-        if progress.tries_end or call.time_left(now) < MIN_TIME_LEFT_SECONDS:
+        if progress.no_more_tries or call.time_left(now) < MIN_TIME_LEFT_SECONDS:
             return None
-        if self._is_repeated_in_vain(call, progress, now):
+        if self._is_repeat_futile(call, progress, now):
             return None
-        if len(progress.asked) < MAX_NEAR_TRIES:
-            view = self._choice.direct(call, progress.asked | progress.left_out, now)
-            if view is not None and _is_worth_asking(view, progress):
+        if len(progress.refused_by) < MAX_NEAR_TRIES:
+            view = self._choice.direct(call, progress.refused_by | progress.excluded, now)
+            if view is not None and _is_within_try_limit(view, progress):
                 return view, Admission.DIRECT
         if progress.queue_tries >= MAX_QUEUE_TRIES:
             return None
-        view = self._choice.queue(call, progress.left_out, now)
+        view = self._choice.queue(call, progress.excluded, now)
         if view is None:
             return None
         progress.queue_tries += 1
         return view, Admission.QUEUE
 
-    def _is_repeated_in_vain(self, call: RoutedCall, progress: RoutedProgress, now: float) -> bool:
+    def _is_repeat_futile(self, call: RoutedCall, progress: RoutedProgress, now: float) -> bool:
         if not call.arrival.is_repeat or not progress.refused_repeats:
             return False
         return not self._admission_rate_by_arrival[call.arrival].is_worth_another(call.service, now)
 
-    async def _try(
+    async def _try_node(
         self, view: PeerView, admission: Admission, call: RoutedCall, progress: RoutedProgress
     ) -> None:
         progress.tries += 1
         progress.node = view.peer.node
         running = self._hop.run(view, call, admission)
         if progress.pending_outcomes:
-            outcome = await self._first_of(asyncio.ensure_future(running), progress)
+            outcome = await self._first_outcome(asyncio.ensure_future(running), progress)
         else:
             outcome = await running
         if outcome is None:
             return
         if isinstance(outcome, Refused) and admission is Admission.QUEUE:
-            progress.left_out.add(view.peer.node)
+            progress.excluded.add(view.peer.node)
         now = self._clock.now()
-        self._learn(call, outcome, now)
-        progress.take(view.peer.node, outcome, now)
+        self._record_admission(call, outcome, now)
+        progress.record(view.peer.node, outcome, now)
 
-    def _learn(self, call: RoutedCall, outcome: Outcome | PendingOutcome, now: float) -> None:
-        """Learn from a repeat whether its service has room for others."""
+    def _record_admission(
+        self, call: RoutedCall, outcome: Outcome | PendingOutcome, now: float
+    ) -> None:
+        """Record whether a repeat was admitted, which shows whether its service has budget left."""
         if not call.arrival.is_repeat or isinstance(outcome, PendingOutcome):
             return
         if isinstance(outcome, Lost) and not outcome.admitted:
@@ -188,59 +193,64 @@
         code = outcome.code if isinstance(outcome, Refused) else None
         if code in _DECIDED_CODES:
             is_admitted = code is not ResultCode.RETRY_BUDGET_SPENT
-            seen = self._admission_rate_by_arrival[call.arrival]
-            seen.note(call.service, now, is_admitted=is_admitted)
+            admission_rate = self._admission_rate_by_arrival[call.arrival]
+            admission_rate.note(call.service, now, is_admitted=is_admitted)
 
-    async def _first_of(
-        self, trial: asyncio.Future[Outcome | PendingOutcome], progress: RoutedProgress
+    async def _first_outcome(
+        self, current_try: asyncio.Future[Outcome | PendingOutcome], progress: RoutedProgress
     ) -> Outcome | PendingOutcome | None:
-        """Return what becomes of a try; None if a silent node answers before."""
+        """Return the outcome of a try; None if a silent node answers first."""
         try:
-            while progress.answer is None and not trial.done():
-                pending: list[asyncio.Future[Any]] = [trial, *progress.pending_outcomes]
+            while progress.answer is None and not current_try.done():
+                pending: list[asyncio.Future[Any]] = [current_try, *progress.pending_outcomes]
                 await asyncio.wait(pending, return_when=FIRST_COMPLETED)
-                progress.take_late(self._clock.now())
-            return trial.result() if trial.done() else None
+                progress.record_late(self._clock.now())
+            return current_try.result() if current_try.done() else None
         except asyncio.CancelledError:
-            trial.add_done_callback(_withdraw)
+            current_try.add_done_callback(_cancel_pending)
             raise
         finally:
-            trial.cancel()
+            current_try.cancel()
+
+    async def _await_pending(self, call: RoutedCall, progress: RoutedProgress) -> bool:
+        """Wait for silent nodes once no other node can be tried.
 
-    async def _hear_late(self, call: RoutedCall, progress: RoutedProgress) -> bool:
-        """Wait for the silent nodes where nobody else can be tried; return whether one was heard.
+        Waits until the target latency is exceeded, so that the caller still has time to send the
+        request again. A node that is about to stop waits until the deadline instead: it cannot
+        try the request again later, and the caller would see it fail because of the shutdown.
 
-        Until the target latency is over: a caller that is told then has time to ask again. A node
-        that leaves hears them out to the deadline: it has no later moment at which to make good
-        a request that it gave up, and its caller would see the shutdown cut it.
+        Returns
+        -------
+        bool
+            Whether an outcome was received, or waiting may go on because this node is stopping.
         """
-        if progress.is_refused or not progress.pending_outcomes:
+        if progress.is_refusal_final or not progress.pending_outcomes:
             return False
         now = self._clock.now()
         seconds = call.time_left(now) if self._hop.leaving else call.target_left(now)
-        heard, _ = await asyncio.wait(
+        done, _ = await asyncio.wait(
             progress.pending_outcomes, timeout=max(0.0, seconds), return_when=FIRST_COMPLETED
         )
-        progress.take_late(self._clock.now())
-        # It may have been told to leave meanwhile.
-        return bool(heard) or (self._hop.leaving and call.time_left(self._clock.now()) > 0)
+        progress.record_late(self._clock.now())
+        # This node may have begun to stop meanwhile.
+        return bool(done) or (self._hop.leaving and call.time_left(self._clock.now()) > 0)
 
-    def _conclude(self, call: RoutedCall, progress: RoutedProgress) -> Outcome:
+    def _resolve(self, call: RoutedCall, progress: RoutedProgress) -> Outcome:
         if progress.tries == 0:
             if call.time_left(self._clock.now()) < MIN_TIME_LEFT_SECONDS:
                 return Refused(ResultCode.DEADLINE_PASSED, 0.0)
             return Refused(ResultCode.NO_BACKEND_SERVER, NO_BACKEND_SERVER_RETRY_SECONDS)
-        return progress.conclude(MIN_RETRY_AFTER_SECONDS)
+        return progress.resolve(MIN_RETRY_AFTER_SECONDS)
 
 
-def _is_worth_asking(view: PeerView, progress: RoutedProgress) -> bool:
-    return view.same_data_centre or len(progress.asked) < MAX_DIRECT_TRIES
+def _is_within_try_limit(view: PeerView, progress: RoutedProgress) -> bool:
+    return view.same_data_centre or len(progress.refused_by) < MAX_DIRECT_TRIES
 
 
-def _withdraw(trial: asyncio.Future[Outcome | PendingOutcome]) -> None:
-    """Withdraw a request that nobody waits for any more, also from a silent node."""
-    if trial.cancelled() or trial.exception() is not None:
+def _cancel_pending(current_try: asyncio.Future[Outcome | PendingOutcome]) -> None:
+    """Cancel a request that nobody waits for any more if it is pending at a silent node."""
+    if current_try.cancelled() or current_try.exception() is not None:
         return
-    outcome = trial.result()
+    outcome = current_try.result()
     if isinstance(outcome, PendingOutcome):
         outcome.heard.cancel()
--- a/src/hoisthook/mesh/routed_progress.py
+++ b/src/hoisthook/mesh/routed_progress.py
@@ -1,4 +1,4 @@
-"""What the tries of one routed request have shown so far."""
+"""The state of one routed request over its tries."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
     from hoisthook.mesh.routed_call import RoutedCall
 
 FAILURE_STATUSES = frozenset({500, 502, 503})
-# Refusals that come from the backend server itself, where the request has arrived.
+# Refusals by the backend server itself: the request has arrived there.
 _ARRIVED_CODES = frozenset({ResultCode.BACKEND_SERVER_SHED, ResultCode.BACKEND_SERVER_REPLACED})
-# Refusals of a direct start by nodes at which the request may still wait.
+# Refusals to start a request at once, by nodes at which it may still be queued.
 _MAY_QUEUE_CODES = frozenset(
     {
         ResultCode.SLOTS_FULL,
@@ -38,41 +38,43 @@
 
 @dataclass(slots=True)
 class RoutedProgress:
-    """What is known of a request, and whether another try may help it.
+    """Records the outcomes of a request's tries and decides whether another may be made.
 
     Attributes
     ----------
     call : RoutedCall
-        The request; what its next try must know is noted there.
-    asked : set of NodeId
-        Nodes that have refused to start it at once.
-    left_out : set of NodeId
+        The request; updated with what its next try depends on.
+    refused_by : set of NodeId
+        Nodes that have refused the request.
+    excluded : set of NodeId
         Nodes that are not tried any more.
     queue_tries, tries : int
-        Nodes at which it was to wait; all tries.
+        Number of tries in which the request could be queued; number of all tries.
     ran : int
-        Backend servers that may have run it.
+        Number of backend servers that may have executed the request.
     rejected : int
-        Backend servers that have rejected it.
+        Number of backend servers that have rejected it.
     refused_repeats : int
-        Nodes at which the budget of repeats had no room for it.
+        Number of nodes that refused it because the repeat budget was spent.
     lost_outcomes : int
-        Nodes that it was sent to whole and that were lost before they had said that they run it.
+        Number of nodes that were sent the complete request and whose connection was lost before
+        they acknowledged it.
     pending_outcomes : dict
-        By what will be heard of it, the nodes that are silent and may still run it.
+        Nodes that are silent and may still execute the request, by the task that returns the
+        outcome.
     node : str
-        The last one tried.
+        Last node tried.
     answer : CompleteAnswer or None
-        The one to hand on.
-    tries_end : bool
+        Answer to forward to the caller.
+    no_more_tries : bool
         Whether no further try may be made.
-    is_refused : bool
+    is_refusal_final : bool
         Whether a refusal holds for all nodes.
     """
 
     call: RoutedCall
-    asked: set[NodeId] = field(default_factory=set)
-    left_out: set[NodeId] = field(default_factory=set)
+    refused_by: set[NodeId] = field(default_factory=set)
+    excluded: set[NodeId] = field(default_factory=set)
     queue_tries: int = 0
     tries: int = 0
     ran: int = 0
@@ -82,78 +84,84 @@
     pending_outcomes: dict[asyncio.Task[Outcome], NodeId] = field(default_factory=dict)
     node: str = ""
     answer: CompleteAnswer | None = None
-    tries_end: bool = False
-    is_refused: bool = False
-    _unknown: Lost | None = None
-    _failed: CompleteAnswer | None = None
-    _soonest: float = float("inf")
-    _code: ResultCode = ResultCode.NO_BACKEND_SERVER
+    no_more_tries: bool = False
+    is_refusal_final: bool = False
+    _lost: Lost | None = None
+    _failure: CompleteAnswer | None = None
+    _shortest_retry_after: float = float("inf")
+    _refusal_code: ResultCode = ResultCode.NO_BACKEND_SERVER
 
     @property
     def arrived(self) -> int:
-        """Return how many backend servers it may have reached."""
+        """Return the number of backend servers that the request may have reached."""
         return self._may_run + self.rejected
 
     @property
     def _may_run(self) -> int:
         return self.ran + self.lost_outcomes + len(self.pending_outcomes)
 
-    def take(self, node: NodeId, outcome: Outcome | PendingOutcome, now: float) -> None:
-        """Take in what became of a try."""
+    def record(self, node: NodeId, outcome: Outcome | PendingOutcome, now: float) -> None:
+        """Record the outcome of a try."""
         if isinstance(outcome, Refused):
-            self._refused(node, outcome)
+            self._record_refusal(node, outcome)
             return
-        self.left_out.add(node)
+        self.excluded.add(node)
         if isinstance(outcome, PendingOutcome):
             self.pending_outcomes[outcome.heard] = node
             if self.call.arrival is Arrival.FIRST:
                 self.call.arrival = Arrival.UNHEARD
-            self._goes_on(now)
+            self._limit_tries(now)
         elif isinstance(outcome, Lost) and not outcome.admitted:
-            self._unknown = outcome
+            self._lost = outcome
             self.lost_outcomes += 1
-            self._goes_on(now)
+            self._limit_tries(now)
         else:
-            self._ran(outcome, now)
+            self._record_execution(outcome, now)
 
-    def take_late(self, now: float) -> None:
-        """Take in what has been heard of nodes that were silent."""
+    def record_late(self, now: float) -> None:
+        """Record the outcomes received from nodes that were silent."""
         for task in [task for task in self.pending_outcomes if task.done()]:
             node = self.pending_outcomes.pop(task)
             outcome = task.result()
             if isinstance(outcome, Refused):
-                self._not_run_after_all()
-            self.take(node, outcome, now)
+                self._retract_attempt()
+            self.record(node, outcome, now)
 
-    def withdraw(self) -> None:
-        """Give up what is still unheard."""
+    def cancel_pending(self) -> None:
+        """Cancel the request at all nodes whose outcome is pending."""
         for task in self.pending_outcomes:
             task.cancel()
 
-    def conclude(self, min_retry_after: float) -> Outcome:
-        """Return the last word of a request that was not answered.
+    def resolve(self, min_retry_after: float) -> Outcome:
+        """Return the final outcome of a request that was not answered.
 
-        Not the last outcome alone: after a try that may have run, a refusal says too much.
+        This is not always the last outcome: after a try that may have been executed, a refusal
+        would wrongly state that the request has not run.
+
+        Parameters
+        ----------
+        min_retry_after : float
+            Lower bound for the seconds after which the caller is to try again.
         """
-        if self._failed is not None:
-            return self._failed
-        if self._unknown is not None:
-            return self._unknown
+        if self._failure is not None:
+            return self._failure
+        if self._lost is not None:
+            return self._lost
         if self.pending_outcomes:
             return Lost(ResultCode.ANSWER_LOST, admitted=False, is_silent=True)
-        return Refused(self._code, max(min_retry_after, self._soonest))
+        return Refused(self._refusal_code, max(min_retry_after, self._shortest_retry_after))
 
-    def _not_run_after_all(self) -> None:
-        self.tries_end = False
-        self._hold_back_last()
+    def _retract_attempt(self) -> None:
+        self.no_more_tries = False
+        self._hold_back_last_attempt()
         if self._may_run + self.rejected == 0:
-            # It has arrived nowhere.
+            # The request has not reached any backend server.
             self.call.arrival = Arrival.FIRST
 
-    def _refused(self, node: NodeId, refused: Refused) -> None:
-        self.asked.add(node)
-        self._code = refused.code
-        self._soonest = min(self._soonest, refused.retry_after)
+    def _record_refusal(self, node: NodeId, refused: Refused) -> None:
+        self.refused_by.add(node)
+        self._refusal_code = refused.code
+        self._shortest_retry_after = min(self._shortest_retry_after, refused.retry_after)
         if refused.code is ResultCode.RETRY_BUDGET_SPENT:
             self.refused_repeats += 1
         if refused.code in _ARRIVED_CODES:
@@ -161,35 +169,35 @@
             if self.call.arrival is not Arrival.RERUN:
                 self.call.arrival = Arrival.REDIRECTED
             if refused.code is ResultCode.BACKEND_SERVER_SHED:
-                self.left_out.add(node)
+                self.excluded.add(node)
             return
         if refused.code not in _MAY_QUEUE_CODES:
-            self.left_out.add(node)
+            self.excluded.add(node)
         if refused.code in _FINAL_CODES:
-            self.is_refused = self.tries_end = True
+            self.is_refusal_final = self.no_more_tries = True
 
-    def _ran(self, outcome: CompleteAnswer | Lost, now: float) -> None:
+    def _record_execution(self, outcome: CompleteAnswer | Lost, now: float) -> None:
         self.ran += 1
         if isinstance(outcome, Lost):
-            self._unknown = outcome
+            self._lost = outcome
             if outcome.code is ResultCode.DEADLINE_DURING_RUN:
-                self.tries_end = True
+                self.no_more_tries = True
         elif outcome.status not in FAILURE_STATUSES:
             self.answer = outcome
             return
         else:
-            self._failed = outcome
+            self._failure = outcome
         if not self.call.repeatable:
-            self.tries_end = True
+            self.no_more_tries = True
         self.call.arrival = Arrival.RERUN
-        self._goes_on(now)
+        self._limit_tries(now)
 
-    def _goes_on(self, now: float) -> None:
+    def _limit_tries(self, now: float) -> None:
         if self._may_run >= self.call.max_attempts or self.call.target_left(now) <= 0:
-            self.tries_end = True
-        self._hold_back_last()
+            self.no_more_tries = True
+        self._hold_back_last_attempt()
 
-    def _hold_back_last(self) -> None:
-        """Have the last backend server that may run it ask for it, so that it runs on no more."""
+    def _hold_back_last_attempt(self) -> None:
+        """Hold back the last attempt, so that no more backend servers than allowed execute it."""
         if self.call.repeatable:
             self.call.held_back = self._may_run + 1 >= self.call.max_attempts
--- a/tests/mesh/test_leaving.py
+++ b/tests/mesh/test_leaving.py
@@ -40,8 +40,8 @@
     monkeypatch.setattr(mesh_node, "LEAVING_SECONDS", 0.0)
 
 
-async def shops(system: MeshSystem, count: int, *, safe: bool = True) -> list[Machine]:
-    """Return an entry beside another service and ``count`` nodes of the route's service."""
+async def ingress_and_shops(system: MeshSystem, count: int, *, safe: bool = True) -> list[Machine]:
+    """Return an ingress node of another service and ``count`` nodes of the route's service."""
     machines = [await system.add("front")]
     for number in range(count):
         machines.append(await system.add("shop", data_centre=f"dc-{number}"))
@@ -51,10 +51,10 @@
     return machines
 
 
-async def test_stopping_node_finishes_what_runs_and_admits_nothing_more(
+async def test_stopping_node_finishes_running_requests_and_admits_no_more(
     system: MeshSystem,
 ) -> None:
-    ingress, server = await shops(system, 1, safe=False)
+    ingress, server = await ingress_and_shops(system, 1, safe=False)
     server.backend.work_seconds = 0.5
     running = asyncio.create_task(system.call(ingress, method=b"POST", request_id="runs"))
     await server.backend.arrived.wait()
@@ -69,11 +69,11 @@
     assert server.backend.runs == ["runs"]
 
 
-async def test_leaving_node_runs_what_no_other_can_start(
+async def test_leaving_node_runs_requests_that_no_other_can_start(
     system: MeshSystem, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(mesh_node, "LEAVING_SECONDS", 0.2)
-    ingress, first, second = await shops(system, 2)
+    ingress, first, second = await ingress_and_shops(system, 2)
     closing = asyncio.create_task(first.node.close())
     await asyncio.sleep(0)
     assert (await system.call(ingress))[0] == 200
@@ -84,10 +84,10 @@
     assert await closing
 
 
-async def test_stopping_node_still_serves_its_callers_and_tells_them_to_leave(
+async def test_stopping_node_serves_its_callers_and_closes_their_connections(
     system: MeshSystem,
 ) -> None:
-    ingress, _ = await shops(system, 1)
+    ingress, _ = await ingress_and_shops(system, 1)
     closing = asyncio.create_task(ingress.node.close())
     await asyncio.sleep(0)
     status, headers, _ = await system.call(ingress)
@@ -98,7 +98,7 @@
 async def test_request_that_waits_for_a_slot_goes_elsewhere_when_its_backend_server_drains(
     system: MeshSystem,
 ) -> None:
-    ingress, first, second = await shops(system, 2)
+    ingress, first, second = await ingress_and_shops(system, 2)
     system.publish(2, RouteOptions("shop", target=2.0, timeout=20.0))
     await system.until_configured(2)
     for machine in (first, second):
@@ -124,7 +124,7 @@
 async def test_no_more_backend_servers_run_a_request_than_its_route_allows(
     system: MeshSystem,
 ) -> None:
-    ingress, *servers = await shops(system, 3)
+    ingress, *servers = await ingress_and_shops(system, 3)
     for server in servers:
         server.backend.fault = Fault.ERROR
     status, _, _ = await system.call(ingress)
@@ -132,16 +132,16 @@
     assert sum(len(server.backend.runs) for server in servers) == 2
 
 
-async def test_refusal_after_a_lost_try_is_not_called_not_run(
+async def test_refusal_after_a_lost_try_is_not_reported_as_not_run(
     system: MeshSystem, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    ingress, near, far = await shops(system, 2)
+    ingress, near, far = await ingress_and_shops(system, 2)
     near.backend.fault = Fault.RESET
     far.backend.fault = Fault.RESET
     refuse = RepeatLimit.refuse
 
     def refuse_second(limit: RepeatLimit, call: Try) -> Refused | None:
-        # The first try is lost; whichever is tried next sheds, and no third one is made.
+        # The first try is lost; the server of the second one sheds it, and no third try is made.
         if call.arrival.is_repeat:
             near.backend.fault = far.backend.fault = Fault.SHED
         return refuse(limit, call)
@@ -154,16 +154,16 @@
 
 async def test_budget_bounds_the_extra_tries_of_a_service_that_fails(system: MeshSystem) -> None:
     system.retry = MeshRetrySettings(window_seconds=0.1, extra=30.0)
-    ingress, *servers = await shops(system, 3)
+    ingress, *servers = await ingress_and_shops(system, 3)
     for server in servers:
         server.backend.fault = Fault.ERROR
     calls = 600
     clock = asyncio.get_running_loop()
-    begun = clock.time()
+    started = clock.time()
     for _ in range(calls):
         await system.call(ingress)
-    windows = (clock.time() - begun) / system.retry.window_seconds + 1
-    # The part for reruns: the calls of a repeated request count as repeats where they go.
+    windows = (clock.time() - started) / system.retry.window_seconds + 1
+    # Reruns get only a part of the budget, since the calls that they make count as repeats too.
     allowed = RERUN_SHARE * (calls * system.retry.ratio + windows * system.retry.extra)
     runs = sum(len(server.backend.runs) for server in servers)
     assert calls < runs <= calls + allowed
@@ -171,7 +171,7 @@
 
 
 async def test_replaced_node_at_the_same_address_is_used_again(system: MeshSystem) -> None:
-    ingress, server = await shops(system, 1)
+    ingress, server = await ingress_and_shops(system, 1)
     assert (await system.call(ingress))[0] == 200
     server.crash()
     assert (await system.call(ingress))[0] in (502, 503)
@@ -183,10 +183,10 @@
             await asyncio.sleep(0.02)
 
 
-async def test_hop_that_is_cut_after_the_request_left_is_not_called_not_run(
+async def test_hop_cut_after_the_request_was_sent_is_not_reported_as_not_run(
     system: MeshSystem,
 ) -> None:
-    ingress, server = await shops(system, 1, safe=False)
+    ingress, server = await ingress_and_shops(system, 1, safe=False)
     server.backend.work_seconds = 30.0
     running = asyncio.create_task(system.call(ingress, method=b"POST"))
     await server.backend.arrived.wait()
@@ -196,30 +196,30 @@
     assert system.log.named("hop_lost")
 
 
-async def test_silent_node_costs_one_connection_timeout_and_is_then_left_alone(
+async def test_silent_node_costs_one_connection_timeout_and_is_then_skipped(
     system: MeshSystem, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    ingress, _ = await shops(system, 1)
+    ingress, _ = await ingress_and_shops(system, 1)
     near = await system.add("shop", data_centre="one")
     system.introduce_all()
     opened: list[object] = []
-    real = ingress.node._peer_pool.open
+    original_open = ingress.node._peer_pool.open
 
-    async def silent(address: tuple[str, int], timeout: float) -> object:
+    async def open_or_time_out(address: tuple[str, int], timeout: float) -> object:
         opened.append(address)
         if address == near.node.peers_address:
             await asyncio.sleep(0)
             raise peer_hop.UnreachableError("silent")
-        return await real(address, timeout)
+        return await original_open(address, timeout)
 
-    monkeypatch.setattr(ingress.node._peer_pool, "open", silent)
+    monkeypatch.setattr(ingress.node._peer_pool, "open", open_or_time_out)
     for _ in range(10):
         assert (await system.call(ingress))[0] == 200
     assert opened.count(near.node.peers_address) == 1
 
 
 async def test_drained_backend_server_is_used_again_once_it_is_ready(system: MeshSystem) -> None:
-    ingress, server = await shops(system, 1)
+    ingress, server = await ingress_and_shops(system, 1)
     assert await server.beat("draining") == 200
     assert (await system.call(ingress))[0] == 503
     assert await server.beat("ready") == 200
@@ -227,7 +227,7 @@
 
 
 async def test_forgotten_peers_are_found_again_in_the_store(system: MeshSystem) -> None:
-    ingress, _ = await shops(system, 1)
+    ingress, _ = await ingress_and_shops(system, 1)
     async with asyncio.timeout(5.0):
         while len(system.log.named("registered")) < 2:
             await asyncio.sleep(0.01)
@@ -240,8 +240,11 @@
     return Announcement(InstanceId(instance), sequence, draining, slots=4, cold_seconds=0.0)
 
 
-def test_late_heartbeat_of_an_incarnation_unknown_here_is_undone_by_an_answer() -> None:
-    """As after a restart of the node: it knows nothing of the incarnation before."""
+def test_answer_overrides_a_late_heartbeat_of_an_unknown_incarnation() -> None:
+    """Guards against a restarted node that follows a heartbeat of a dead incarnation.
+
+    A restarted node knows no earlier incarnation, so it cannot tell that the heartbeat is late.
+    """
     observed_backend = ObservedBackend(ListLog())
     observed_backend.announced(announcement("new", 5))
     observed_backend.announced(announcement("dead", 90))
@@ -261,7 +264,7 @@
     assert not observed_backend.takes_work
 
 
-def test_answer_does_not_bring_back_an_incarnation_that_has_said_farewell() -> None:
+def test_answer_does_not_restore_a_deregistered_incarnation() -> None:
     observed_backend = ObservedBackend(ListLog())
     observed_backend.announced(announcement("old", 5))
     observed_backend.deregistered(BackendIncarnation(InstanceId("old")))
@@ -270,10 +273,13 @@
     assert observed_backend.instance == "new"
 
 
-async def test_node_started_beside_a_draining_server_admits_nothing_before_it_can_ask(
+async def test_restarted_node_admits_nothing_before_it_can_read_health(
     system: MeshSystem,
 ) -> None:
-    """As after a kill while the store is away: no configuration says where health is asked."""
+    """Guards against requests to a draining server after a kill while the store is unavailable.
+
+    Without a configuration the node does not know the address of the health check.
+    """
     shop = await system.add("shop", announced=False)
     call = RoutedCall(
         request_id=RequestId("q"),
--- a/tests/mesh/test_leaving_entry.py
+++ b/tests/mesh/test_leaving_ingress.py
@@ -1,4 +1,4 @@
-"""A node that leaves cuts no request for the silence of the one that runs it."""
+"""Guards against a stopping node that gives up requests at a slow node."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
     from standin.mesh_system import MeshSystem
 
-# Beyond what is borne of a node while others can be asked.
+# Longer than a node may stay silent while another node can be tried.
 SILENT_SECONDS = 0.4
 
 
-async def test_entry_that_leaves_hears_out_a_node_whose_word_is_late(
+async def test_stopping_ingress_awaits_a_late_admission(
     system: MeshSystem, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The word that a request is admitted waits on a link that carries something else."""
+    """The message that a request is admitted is delayed, as by other traffic on a slow link."""
     go_ahead = ServerExchange.go_ahead
 
-    def late(exchange: ServerExchange) -> None:
+    def delayed_go_ahead(exchange: ServerExchange) -> None:
         asyncio.get_running_loop().call_later(SILENT_SECONDS, go_ahead, exchange)
 
-    monkeypatch.setattr(ServerExchange, "go_ahead", late)
+    monkeypatch.setattr(ServerExchange, "go_ahead", delayed_go_ahead)
     ingress = await system.add("front")
     server = await system.add("shop")
     system.introduce_all()
--- a/tests/mesh/test_path.py
+++ b/tests/mesh/test_path.py
@@ -15,7 +15,7 @@
 
 
 async def two_services(system: MeshSystem, *, safe: bool = True) -> tuple[Machine, Machine]:
-    """Return an entry beside another service, and the node that serves the route."""
+    """Return an ingress node of another service, and the node that serves the route."""
     ingress = await system.add("front")
     server = await system.add("shop")
     system.introduce_all()
@@ -40,7 +40,7 @@
     assert not [name for name in headers if name.startswith(b"hoisthook")]
 
 
-async def test_body_is_handed_on_unchanged(system: MeshSystem) -> None:
+async def test_body_is_forwarded_unchanged(system: MeshSystem) -> None:
     ingress, server = await two_services(system, safe=False)
     body = bytes(range(256)) * 100
     status, _, _ = await system.call(ingress, method=b"POST", body=body)
@@ -48,7 +48,7 @@
     assert server.backend.arrivals[0].body == body
 
 
-async def test_what_a_caller_says_of_its_service_is_replaced(system: MeshSystem) -> None:
+async def test_callers_own_service_header_is_replaced(system: MeshSystem) -> None:
     ingress, server = await two_services(system)
     reader, writer = await asyncio.open_connection(*ingress.node.callers_address)
     writer.write(
@@ -77,7 +77,7 @@
     assert status == 404
 
 
-async def test_no_backend_server_is_answered_503_with_when_to_come_back(
+async def test_missing_backend_server_is_answered_503_with_retry_after(
     system: MeshSystem,
 ) -> None:
     ingress = await system.add("front")
@@ -101,12 +101,12 @@
     )
     await system.until_configured(1)
     server.backend.work_seconds = 0.2
-    long = asyncio.create_task(system.call(ingress, path="/long/x"))
+    long_call = asyncio.create_task(system.call(ingress, path="/long/x"))
     async with asyncio.timeout(10.0):
         while not server.backend.running:
             await asyncio.sleep(0.001)
     assert (await system.call(ingress))[0] == 200
-    assert (await long)[0] == 200
+    assert (await long_call)[0] == 200
 
 
 @pytest.mark.parametrize(
@@ -139,7 +139,7 @@
     assert len(other.backend.runs) == 1
 
 
-async def test_promise_without_proof_is_not_handed_on_as_a_promise(system: MeshSystem) -> None:
+async def test_promise_without_proof_is_not_forwarded_as_a_promise(system: MeshSystem) -> None:
     ingress, server = await two_services(system, safe=False)
     server.backend.fault = Fault.PROMISE_WITHOUT_PROOF
     status, _, _ = await system.call(ingress, method=b"POST")
@@ -164,7 +164,7 @@
     assert headers[b"content-length"] == b"%d" % len(body)
 
 
-async def test_answer_to_another_request_is_passed_over(system: MeshSystem) -> None:
+async def test_answer_to_another_request_is_ignored(system: MeshSystem) -> None:
     ingress, server = await two_services(system)
     server.backend.fault = Fault.FOREIGN_FIRST
     status, _, body = await system.call(ingress, request_id="mine")
@@ -182,28 +182,28 @@
     assert [a.headers[b"x-expect-instance"] for a in server.backend.arrivals] == [b"i-2", b"i-new"]
 
 
-async def test_caller_that_leaves_cancels_its_request_beside_the_backend_server(
+async def test_disconnect_of_a_caller_cancels_its_request_at_the_backend_server(
     system: MeshSystem,
 ) -> None:
     ingress, server = await two_services(system)
     server.backend.work_seconds = 30.0
-    calling = asyncio.create_task(system.call(ingress, deadline_ms=60_000, request_id="gone"))
+    call = asyncio.create_task(system.call(ingress, deadline_ms=60_000, request_id="gone"))
     await server.backend.arrived.wait()
-    calling.cancel()
+    call.cancel()
     async with asyncio.timeout(10.0):
         while server.backend.cancelled != ["gone"]:
             await asyncio.sleep(0.01)
     assert server.node.link.gate.running == 0
 
 
-async def test_deadline_is_answered_504(system: MeshSystem) -> None:
+async def test_passed_deadline_is_answered_504(system: MeshSystem) -> None:
     ingress, server = await two_services(system)
     server.backend.work_seconds = 30.0
     status, _, _ = await system.call(ingress, deadline_ms=100)
     assert status == 504
 
 
-async def test_routes_timeout_binds_where_the_caller_would_wait_longer(
+async def test_route_timeout_caps_the_callers_deadline(
     system: MeshSystem,
 ) -> None:
     ingress, server = await two_services(system)
@@ -238,8 +238,8 @@
 async def test_older_heartbeat_does_not_undo_a_drain(system: MeshSystem) -> None:
     ingress, server = await two_services(system)
     assert await server.beat("draining") == 200
-    late = server.endpoints.announcements_address
-    assert await server.backend.beat(late, sequence=1) == 200
+    announcements_address = server.endpoints.announcements_address
+    assert await server.backend.beat(announcements_address, sequence=1) == 200
     status, _, _ = await system.call(ingress)
     assert status == 503
 
@@ -250,13 +250,13 @@
     ingress, server = await two_services(system)
     server.crash()
     server.backend.healthy = False
-    again = await system.add("shop", backend=server.backend, announced=False)
+    restarted = await system.add("shop", backend=server.backend, announced=False)
     system.introduce_all()
     await system.until_configured(1)
     status, _, _ = await system.call(ingress)
     assert status == 503
     assert server.backend.arrivals == []
-    assert not again.node.link.observed_backend.takes_work
+    assert not restarted.node.link.observed_backend.takes_work
 
 
 async def test_no_more_than_the_limit_run_at_once_and_the_rest_is_refused_at_once(
@@ -273,7 +273,9 @@
     assert all(float(headers[b"retry-after"]) > 0 for headers in refused)
 
 
-async def test_slow_backend_server_hands_over_to_a_fast_one(system: MeshSystem) -> None:
+async def test_request_avoids_a_slow_backend_server_if_a_fast_one_exists(
+    system: MeshSystem,
+) -> None:
     ingress, server = await two_services(system)
     other = await system.add("shop", data_centre="two")
     system.introduce_all()
@@ -284,7 +286,9 @@
     assert (server.backend.runs, len(other.backend.runs)) == ([], 1)
 
 
-async def test_slow_backend_server_runs_what_no_other_can(system: MeshSystem) -> None:
+async def test_request_runs_at_a_slow_backend_server_if_there_is_no_other(
+    system: MeshSystem,
+) -> None:
     ingress, server = await two_services(system)
     server.backend.slowdown = 400
     status, _, _ = await system.call(ingress)
@@ -292,7 +296,7 @@
     assert len(server.backend.runs) == 1
 
 
-async def test_node_that_is_gone_is_passed_over(system: MeshSystem) -> None:
+async def test_unreachable_node_is_skipped(system: MeshSystem) -> None:
     ingress, server = await two_services(system, safe=False)
     other = await system.add("shop", data_centre="two")
     system.introduce_all()
@@ -314,7 +318,7 @@
     assert [view.peer.node for view in ingress.node.directory.serving("shop")] == []  # type: ignore[arg-type]
 
 
-async def test_split_route_keeps_its_weights_and_does_not_move_what_one_part_refuses(
+async def test_split_route_keeps_its_weights_if_one_part_refuses(
     system: MeshSystem,
 ) -> None:
     ingress = await system.add("front")
@@ -329,7 +333,7 @@
     assert statuses.count(503) == 5
 
 
-async def test_every_request_leaves_a_line_with_its_id_and_outcome(system: MeshSystem) -> None:
+async def test_every_request_is_logged_with_its_id_and_outcome(system: MeshSystem) -> None:
     ingress, server = await two_services(system)
     await system.call(ingress, request_id="seen")
     server.backend.fault = Fault.RESET
@@ -341,7 +345,7 @@
     assert [line["request"] for line in system.log.named("backend_lost")] == ["lost"]
 
 
-async def test_no_line_has_a_field_that_hides_who_wrote_it(system: MeshSystem) -> None:
+async def test_log_fields_do_not_override_time_node_or_event(system: MeshSystem) -> None:
     ingress, server = await two_services(system)
     await system.call(ingress)
     server.backend.fault = Fault.ERROR
--- a/tests/mesh/test_routed_dispatcher.py
+++ b/tests/mesh/test_routed_dispatcher.py
@@ -1,4 +1,4 @@
-"""Tries of a request beside a node that is silent, without a network."""
+"""Tests of a request's tries at silent and at full nodes, without a network."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
     from hoisthook.mesh.routed_call import RoutedCall
 
 
-class Nodes:
-    """Two nodes: the first is silent for good, and so is the second once it goes on."""
+class SilentNodes:
+    """Two nodes that stay silent; the second only once ``second_may_return`` is set."""
 
     leaving = False
 
@@ -44,16 +44,16 @@
             for port, name in enumerate(("first", "second"), start=1)
         ]
         self.pending_outcomes: list[asyncio.Task[Outcome]] = []
-        self.second_asked = asyncio.Event()
-        self.second_goes_on = asyncio.Event()
+        self.second_tried = asyncio.Event()
+        self.second_may_return = asyncio.Event()
 
     def to_probe(self, call: RoutedCall, now: float) -> PeerView | None:
         return None
 
-    def direct(self, call: RoutedCall, left_out: Collection[NodeId], now: float) -> PeerView | None:
-        return next((view for view in self.views if view.peer.node not in left_out), None)
+    def direct(self, call: RoutedCall, excluded: Collection[NodeId], now: float) -> PeerView | None:
+        return next((view for view in self.views if view.peer.node not in excluded), None)
 
-    def queue(self, call: RoutedCall, left_out: Collection[NodeId], now: float) -> PeerView | None:
+    def queue(self, call: RoutedCall, excluded: Collection[NodeId], now: float) -> PeerView | None:
         return None
 
     def probe(self, view: PeerView) -> None:
@@ -63,19 +63,19 @@
         self, view: PeerView, call: RoutedCall, admission: Admission
     ) -> Outcome | PendingOutcome:
         if view is self.views[1]:
-            self.second_asked.set()
-            await self.second_goes_on.wait()
-        task = asyncio.ensure_future(self._silence())
+            self.second_tried.set()
+            await self.second_may_return.wait()
+        task = asyncio.ensure_future(self._never_return())
         self.pending_outcomes.append(task)
         return PendingOutcome(task)
 
-    async def _silence(self) -> Outcome:
+    async def _never_return(self) -> Outcome:
         await asyncio.Event().wait()
         raise AssertionError
 
 
-class FullNodes(Nodes):
-    """Ten nodes without room for repeats."""
+class FullNodes(SilentNodes):
+    """Ten nodes whose repeat budget is spent."""
 
     def __init__(self) -> None:
         self.views = [
@@ -93,8 +93,8 @@
         return Refused(ResultCode.RETRY_BUDGET_SPENT, 0.1)
 
 
-async def test_reruns_in_vain_do_not_keep_other_repeats_from_asking_on() -> None:
-    """Each kind of repeat has room of its own: what one kind meets tells nothing of another."""
+async def test_refused_reruns_do_not_stop_the_tries_of_redirected_requests() -> None:
+    """Each kind of repeat has its own budget: refusals of one kind do not affect another."""
     clock = FakeClock()
     nodes = FullNodes()
     dispatcher = RoutedDispatcher(nodes, nodes, clock)  # type: ignore[arg-type]
@@ -105,29 +105,29 @@
         call.arrival = arrival
         return (await dispatcher.dispatch(call)).tries
 
-    until_known = await tries(Arrival.RERUN)
-    assert until_known > 1
+    tries_until_known = await tries(Arrival.RERUN)
+    assert tries_until_known > 1
     assert await tries(Arrival.RERUN) == 1
-    assert await tries(Arrival.REDIRECTED) == until_known
+    assert await tries(Arrival.REDIRECTED) == tries_until_known
     clock.advance(10.0)
     assert await tries(Arrival.RERUN) > 1
 
 
 @pytest.mark.parametrize("is_silent_too", [False, True])
-async def test_request_whose_caller_has_left_is_withdrawn_from_silent_nodes(
+async def test_request_of_a_disconnected_caller_is_withdrawn_from_silent_nodes(
     is_silent_too: bool,
 ) -> None:
-    """Guards against runs for callers who have left, whatever the second try has come to."""
-    nodes = Nodes()
+    """Guards against executions for disconnected callers, in both states of the second try."""
+    nodes = SilentNodes()
     call = progress(max_attempts=3, target=60.0).call
     call.received = asyncio.get_running_loop().time()
     call.deadline = call.received + 60.0
     dispatcher = RoutedDispatcher(nodes, nodes, LoopClock())  # type: ignore[arg-type]
     running = asyncio.ensure_future(dispatcher.dispatch(call))
-    await nodes.second_asked.wait()
+    await nodes.second_tried.wait()
     if is_silent_too:
-        nodes.second_goes_on.set()
-        # The second try is over, and its outcome is not taken in yet.
+        nodes.second_may_return.set()
+        # The second try has returned, and its outcome is not recorded yet.
         while len(nodes.pending_outcomes) < 2:
             await asyncio.sleep(0)
     running.cancel()
--- a/tests/mesh/test_routed_progress.py
+++ b/tests/mesh/test_routed_progress.py
@@ -1,4 +1,4 @@
-"""What the tries of a request have shown, and whether another one may be made."""
+"""Tests of the state of a routed request over its tries, without a network."""
 
 from __future__ import annotations
 
@@ -46,80 +46,80 @@
     )
 
 
-async def heard(outcome: Outcome) -> Outcome:
+async def late_outcome(outcome: Outcome) -> Outcome:
     return outcome
 
 
-async def silent(of: RoutedProgress, node: NodeId, outcome: Outcome) -> None:
-    """Take in that a node is silent; ``outcome`` is what it says at last."""
-    task = asyncio.ensure_future(heard(outcome))
-    of.take(node, PendingOutcome(task), NOW)
+async def record_silent(state: RoutedProgress, node: NodeId, outcome: Outcome) -> None:
+    """Record that a node is silent, with the outcome that it returns later."""
+    task = asyncio.ensure_future(late_outcome(outcome))
+    state.record(node, PendingOutcome(task), NOW)
     await asyncio.wait([task])
 
 
 async def test_silent_and_failed_backend_servers_count_together() -> None:
-    """Guards against a third run where a route allows two."""
-    made = progress()
-    await silent(made, FIRST, ANSWER)
-    assert not made.tries_end
-    assert made.call.held_back
-    made.take(SECOND, FAILURE, NOW)
-    assert made.tries_end
-    assert made.arrived == 2
+    """Guards against a third execution of a request whose route allows two attempts."""
+    state = progress()
+    await record_silent(state, FIRST, ANSWER)
+    assert not state.no_more_tries
+    assert state.call.held_back
+    state.record(SECOND, FAILURE, NOW)
+    assert state.no_more_tries
+    assert state.arrived == 2
 
 
 async def test_failed_backend_server_leaves_the_last_try_held_back() -> None:
-    made = progress()
-    assert not made.call.held_back
-    made.take(FIRST, FAILURE, NOW)
-    assert made.call.held_back
-    assert made.call.arrival is Arrival.RERUN
+    state = progress()
+    assert not state.call.held_back
+    state.record(FIRST, FAILURE, NOW)
+    assert state.call.held_back
+    assert state.call.arrival is Arrival.RERUN
 
 
-async def test_late_answer_is_the_one_to_hand_on() -> None:
-    made = progress()
-    await silent(made, FIRST, ANSWER)
-    made.take(SECOND, Refused(ResultCode.SLOTS_FULL, 0.1), NOW)
-    made.take_late(NOW)
-    assert made.answer == ANSWER
+async def test_late_answer_is_forwarded() -> None:
+    state = progress()
+    await record_silent(state, FIRST, ANSWER)
+    state.record(SECOND, Refused(ResultCode.SLOTS_FULL, 0.1), NOW)
+    state.record_late(NOW)
+    assert state.answer == ANSWER
 
 
 async def test_late_refusal_leaves_the_request_as_if_it_had_not_been_sent() -> None:
-    made = progress()
-    await silent(made, FIRST, Refused(ResultCode.SLOTS_FULL, 0.1))
-    assert made.call.arrival is Arrival.UNHEARD
-    made.take_late(NOW)
-    assert made.call.arrival is Arrival.FIRST
-    assert not made.call.held_back
-    assert made.arrived == 0
-    refused = made.conclude(0.05)
+    state = progress()
+    await record_silent(state, FIRST, Refused(ResultCode.SLOTS_FULL, 0.1))
+    assert state.call.arrival is Arrival.UNHEARD
+    state.record_late(NOW)
+    assert state.call.arrival is Arrival.FIRST
+    assert not state.call.held_back
+    assert state.arrived == 0
+    refused = state.resolve(0.05)
     assert isinstance(refused, Refused)
 
 
-async def test_what_was_not_heard_is_not_called_refused() -> None:
-    made = progress()
-    await silent(made, FIRST, ANSWER)
-    made.take(SECOND, Refused(ResultCode.SLOTS_FULL, 0.1), NOW)
-    assert made.conclude(0.05) == Lost(ResultCode.ANSWER_LOST, admitted=False, is_silent=True)
+async def test_pending_request_is_not_reported_as_refused() -> None:
+    state = progress()
+    await record_silent(state, FIRST, ANSWER)
+    state.record(SECOND, Refused(ResultCode.SLOTS_FULL, 0.1), NOW)
+    assert state.resolve(0.05) == Lost(ResultCode.ANSWER_LOST, admitted=False, is_silent=True)
 
 
-async def test_lost_word_of_a_silent_node_is_not_called_refused() -> None:
-    made = progress()
-    await silent(made, FIRST, Lost(ResultCode.ANSWER_LOST, admitted=False))
-    made.take_late(NOW)
-    made.take(SECOND, Refused(ResultCode.SLOTS_FULL, 0.1), NOW)
-    assert isinstance(made.conclude(0.05), Lost)
-    assert made.arrived == 1
+async def test_lost_answer_of_a_silent_node_is_not_reported_as_refused() -> None:
+    state = progress()
+    await record_silent(state, FIRST, Lost(ResultCode.ANSWER_LOST, admitted=False))
+    state.record_late(NOW)
+    state.record(SECOND, Refused(ResultCode.SLOTS_FULL, 0.1), NOW)
+    assert isinstance(state.resolve(0.05), Lost)
+    assert state.arrived == 1
 
 
 async def test_no_further_try_once_the_target_latency_is_over() -> None:
-    made = progress(max_attempts=3, target=0.05)
-    await silent(made, FIRST, ANSWER)
-    assert made.tries_end
+    state = progress(max_attempts=3, target=0.05)
+    await record_silent(state, FIRST, ANSWER)
+    assert state.no_more_tries
 
 
-async def test_refusal_that_holds_for_all_nodes_ends_the_request() -> None:
-    made = progress()
-    made.take(FIRST, Refused(ResultCode.WORK_ENDS_SERVERS, 1.0), NOW)
-    assert made.is_refused
-    assert made.tries_end
+async def test_refusal_that_holds_for_all_nodes_ends_the_tries() -> None:
+    state = progress()
+    state.record(FIRST, Refused(ResultCode.WORK_ENDS_SERVERS, 1.0), NOW)
+    assert state.is_refusal_final
+    assert state.no_more_tries
