--- a/src/hoisthook/mesh/ingress.py
+++ b/src/hoisthook/mesh/ingress.py
@@ -194,7 +194,7 @@
                     return
                 call = self._make_call(exchange, accepted, body, deadline)
                 sent = True
-                done = await self._dispatcher.dispatch(call)
+                dispatched = await self._dispatcher.dispatch(call)
         except BrokenExchangeError:
             exchange.abort()
             return
@@ -205,26 +205,26 @@
             outcome = lost if sent else Refused(ResultCode.REQUEST_TIMEOUT, 0.0)
             self._finish_unserved(exchange, accepted, outcome)
             return
-        if isinstance(done.outcome, Refused):
+        if isinstance(dispatched.outcome, Refused):
             self._return_token(accepted)
-        if isinstance(done.outcome, CompleteAnswer):
-            answer = done.outcome
+        if isinstance(dispatched.outcome, CompleteAnswer):
+            answer = dispatched.outcome
             await exchange.respond_paced(
                 answer.status, answer.headers, answer.body, self._link_pacer
             )
         self._finish(
             exchange,
             request,
-            done.outcome,
+            dispatched.outcome,
             received,
             route=route.name,
             service=call.service,
             team=call.team,
             configuration=configuration.version,
-            tries=done.tries,
-            ran=done.ran,
-            arrived=done.arrived,
-            sent_to=done.node,
+            tries=dispatched.tries,
+            ran=dispatched.ran,
+            arrived=dispatched.arrived,
+            sent_to=dispatched.node,
             parent=call.parent,
         )
 
--- a/src/hoisthook/mesh/peer_choice.py
+++ b/src/hoisthook/mesh/peer_choice.py
@@ -24,7 +24,7 @@
 MAX_REPORT_AGE_SECONDS = 0.08
 # Scores within this distance of the best count as equal; a node is drawn from them at random.
 SCORE_TOLERANCE = 0.05
-# Factor by which the share of failed answers above the usual share of the service raises a score.
+# Weight in a node's score of its share of failed answers above the usual share of the service.
 FAILURE_WEIGHT = 2.0
 
 
