--- a/src/hoisthook/experiment/modelled_hop.py
+++ b/src/hoisthook/experiment/modelled_hop.py
@@ -90,7 +90,7 @@
         self, view: PeerView, call: RoutedCall, admission: Admission, node: ModelledNode
     ) -> Refused | PendingOutcome:
         """Bear the silence of a node, which still sends on what is whole when it wakes."""
-        held_back = call.held_back or view.may_be_silent(self._clock.now())
+        held_back = call.held_back or view.may_be_unresponsive(self._clock.now())
         sent = dataclasses.replace(call)
         await asyncio.sleep(ADMISSION_SECONDS)
         view.silent(self._clock.now())
--- a/src/hoisthook/mesh/__init__.py
+++ b/src/hoisthook/mesh/__init__.py
@@ -1,3 +1,3 @@
-"""The path of routed requests: from a caller's node to the node beside a backend server."""
+"""Routed requests, from the ingress node to the node of a backend server, and node membership."""
 
 from __future__ import annotations
--- a/src/hoisthook/mesh/configuration_watch.py
+++ b/src/hoisthook/mesh/configuration_watch.py
@@ -1,4 +1,4 @@
-"""Follows the configuration record in the platform's store."""
+"""Watches the configuration record in the platform's store, directly or through a reader."""
 
 from __future__ import annotations
 
@@ -26,29 +26,31 @@
     from hoisthook.traffic.configuration_holder import ConfigurationHolder
     from hoisthook.traffic.evacuations import Evacuations
 
-# One call in this time while nothing changes. A wait that an outage has silenced is not told from
-# one in which nothing happens, so waits are drawn: some node's ends soon after the outage, and
-# peers tell each other what it reads.
+# Range of the long poll of the store, one call while nothing changes. A poll that an outage has
+# left without an answer looks like one without changes. Durations are random, so that some node's
+# poll ends soon after the outage, and its peers receive what it reads.
 MIN_WAIT_SECONDS = 1.0
 MAX_WAIT_SECONDS = 10.0
-# After a change the next read waits, so that changes in quick succession cost one call.
+# Pause after a change before the next read, so that changes in quick succession cost one call.
 SETTLE_SECONDS = 0.4
-# For how long a question of a node that does not read is held by the one it asks, which answers
-# as soon as there is a change. News of nodes have to wait for the next question.
-FOLLOW_SECONDS = 0.6
-# Between two questions where changes come one after the other.
-MIN_FOLLOW_SECONDS = 0.02
-# A node without a configuration answers its callers 503. It asks all its readers at once, again
-# after this time, doubled up to the usual, while they have none either, and reads by itself if
-# none takes a connection within the second one, or none that does answers. Asked one after the
-# other, readers that are gone cost the last of 32 nodes 0.25 s after a restart of all.
-FIRST_FOLLOW_SECONDS = 0.03
-FIRST_ANSWER_SECONDS = 0.05
-MAX_FIRST_FOLLOW_SECONDS = 0.2
-# A node reads by itself once so many readers in a row have not answered.
-MAX_UNANSWERED = 3
-# Nodes begin with different readers.
-ANY_TURN = 1000
+# How long a reader holds the poll of a node that does not read the store. It answers earlier if the
+# configuration or an evacuation changes; other changes are sent with the next reply.
+POLL_HOLD_SECONDS = 0.6
+# Pause between two polls, which limits their rate while changes follow one another.
+MIN_POLL_INTERVAL_SECONDS = 0.02
+# A node without a configuration answers its callers with 503. It polls all its readers at once, and
+# while they have no configuration either, again at an interval that starts at
+# FIRST_POLL_INTERVAL_SECONDS and doubles up to MAX_FIRST_POLL_INTERVAL_SECONDS. It reads the store
+# itself if no reader accepts a connection within FIRST_ANSWER_TIMEOUT_SECONDS, or none of those
+# that accept answers. Polled one after another, unreachable readers delayed the last of 32 nodes by
+# 0.25 s after a restart of all.
+FIRST_POLL_INTERVAL_SECONDS = 0.03
+FIRST_ANSWER_TIMEOUT_SECONDS = 0.05
+MAX_FIRST_POLL_INTERVAL_SECONDS = 0.2
+# After this number of unanswered polls in a row, a node reads the store itself.
+MAX_UNANSWERED_POLLS = 3
+# Range of the random first turn, so that nodes start with different readers.
+FIRST_TURN_RANGE = 1000
 FIRST_BACKOFF_SECONDS = 0.15
 MAX_BACKOFF_SECONDS = 1.0
 
@@ -56,42 +58,42 @@
 class ConfigurationWatch:
     """Reads the newest record once, then waits for each change.
 
-    In a data centre of many nodes only some read; the others ask one of these, from their
-    start on, which costs the store nothing, and read by themselves where none of them
-    answers. While the store does not answer the readers, some others take their place.
-    On a day of 195 nodes with 495 starts, a third of them turned away by the store for 9 s,
-    it had 3,120 calls when each node read by itself at such times, and 1,068 so.
+    In a data centre of many nodes only some, the readers, read the store. The others poll a reader
+    from their start on, which costs the store nothing, and read the store themselves if no reader
+    answers. While the store does not answer the readers, a limited number of other nodes take
+    their place. With 195 nodes and 495 starts, a third of the nodes rejected by the store for 9 s,
+    the store received 1,068 calls, and 3,120 if every node read it itself during such a time.
 
     Parameters
     ----------
     topic, key : str
-        Where operators publish.
+        Topic and key of the record that operators publish.
     store : RecordStore
-        The platform's.
+        The platform's store.
     decode : ConfigurationDecoder
-        Reads a record.
+        Decodes a record.
     holder : ConfigurationHolder
-        Gets what is read.
+        Receives the configurations that are read.
     evacuations : Evacuations
-        Gets which data centres are evacuated.
+        Receives the evacuated data centres.
     evacuation_prefix : str
-        Keys that begin so and go on with a data centre ask for its evacuation; empty for none.
+        Prefix of the keys of evacuation records, followed by a data centre; empty for none.
     era : StoreEra
-        Told of the store's, and tells when it came back older.
+        Receives the store's era, and reports when the store has regressed to an older state.
     lease : KeyLease
-        Told when the configuration was known to be the newest.
+        Renewed whenever the configuration is known to be the newest.
     sync : PeerSync
-        Told whether the store answers; asks peers.
+        Polls peers; its ``store_away`` is kept up to date.
     readers : StoreReaders
-        Tells who reads.
-    listed : asyncio.Event
-        Set once it is known who is there, so that readers can be told.
+        Selects the nodes that read the store.
+    peers_known : asyncio.Event
+        Set once other nodes are known, so that readers can be selected.
     clock : Clock
         Monotonic.
     randomness : Randomness
-        Spreads the tries of many nodes.
+        Spreads the calls of many nodes over time.
     log : EventLog
-        Gets a line when the store is lost and when it is back.
+        Receives events, such as the loss and the return of the store.
     """
 
     def __init__(
@@ -108,7 +110,7 @@
         lease: KeyLease,
         sync: PeerSync,
         readers: StoreReaders,
-        listed: asyncio.Event,
+        peers_known: asyncio.Event,
         clock: Clock,
         randomness: Randomness,
         log: EventLog,
@@ -119,15 +121,15 @@
         self._decode = decode
         self._holder = holder
         self._evacuations = evacuations
-        # As of `_offset`, in this node's own reading of the log.
-        self._evacuated = EvacuationReading(evacuation_prefix)
-        self._is_doubted = False
+        # Evacuations as of `_offset` of the log, as read by this node itself.
+        self._evacuation_reading = EvacuationReading(evacuation_prefix)
+        self._is_reread_due = False
         self._era = era
         self._lease = lease
         era.on_change(self._store_regressed)
         self._sync = sync
         self._readers = readers
-        self._listed = listed
+        self._peers_known = peers_known
         self._clock = clock
         self._randomness = randomness
         self._log = log
@@ -135,77 +137,79 @@
         self._backoff = FIRST_BACKOFF_SECONDS
         self._unanswered = 0
         self._is_unreadable = False
-        self._asked = randomness.randrange(ANY_TURN)
+        self._poll_count = randomness.randrange(FIRST_TURN_RANGE)
 
     async def run(self) -> None:
-        """Follow the record until cancelled."""
-        await self._listed.wait()
-        await self._get_first()
+        """Watch the record until cancelled."""
+        await self._peers_known.wait()
+        await self._fetch_first()
         while True:
-            readers = self._readers.to_ask()
-            if readers and self._unanswered < MAX_UNANSWERED:
-                # In turn, so that what is told twice has been told to both.
-                self._asked += 1
-                hold = FOLLOW_SECONDS * (0.75 + 0.5 * self._randomness.random())
+            readers = self._readers.poll_targets()
+            if readers and self._unanswered < MAX_UNANSWERED_POLLS:
+                # Poll the readers in turn, so that reports that are sent twice reach two readers.
+                self._poll_count += 1
+                hold = POLL_HOLD_SECONDS * (0.75 + 0.5 * self._randomness.random())
                 hold = min(hold, self._lease.longest_hold)
-                answered = await self._ask(readers[self._asked % len(readers)], hold)
+                answered = await self._poll(readers[self._poll_count % len(readers)], hold)
                 self._unanswered = 0 if answered else self._unanswered + 1
                 if answered:
-                    await self._pause(FOLLOW_SECONDS if self._is_unreadable else MIN_FOLLOW_SECONDS)
+                    await self._pause(
+                        POLL_HOLD_SECONDS if self._is_unreadable else MIN_POLL_INTERVAL_SECONDS
+                    )
             else:
                 if readers:
-                    # Asks for the newest record, rather than waiting for the next.
+                    # Read the newest record instead of waiting for the next change.
                     self._offset = None
                 self._unanswered = 0
                 await self._read()
 
-    async def _get_first(self) -> None:
-        """Ask readers until there is a configuration, or this node is a reader itself."""
-        seconds = FIRST_FOLLOW_SECONDS
+    async def _fetch_first(self) -> None:
+        """Poll the readers until there is a configuration, or this node is a reader itself."""
+        seconds = FIRST_POLL_INTERVAL_SECONDS
         while self._holder.current is None:
-            readers = self._readers.to_ask()
+            readers = self._readers.poll_targets()
             if not readers:
                 return
-            why = await self._ask_all(readers)
+            why = await self._poll_all(readers)
             if self._holder.current is None and why is not None:
                 self._log.event("configuration_read_at_start", readers=len(readers), why=why)
                 await self._read()
             if self._holder.current is None:
                 await self._pause(seconds)
-                seconds = min(MAX_FIRST_FOLLOW_SECONDS, 2 * seconds)
+                seconds = min(MAX_FIRST_POLL_INTERVAL_SECONDS, 2 * seconds)
 
-    async def _ask_all(self, readers: list[PeerView]) -> str | None:
-        """Ask readers at once; return why the store has to be read, or None if one has answered.
+    async def _poll_all(self, readers: list[PeerView]) -> str | None:
+        """Poll all readers at once; return why the store must be read, or None if one answered.
 
-        Load pattern: nodes start together while machines are busy, so that readers that are there
-        answer late. Each start that did not wait for them would add a read in the second in
-        which the store has most to do.
+        Load pattern: many nodes start while machines are busy, so that running readers answer
+        late. Each start that did not wait for them would add a read of the store in the second in
+        which its load is highest.
         """
         connected = asyncio.Event()
         loop = asyncio.get_running_loop()
-        asking = {loop.create_task(self._ask(reader, connected=connected)) for reader in readers}
-        while asking:
-            begun = self._clock.now()
-            patience = None if connected.is_set() else FIRST_ANSWER_SECONDS
-            answered, asking = await asyncio.wait(
-                asking, timeout=patience, return_when=asyncio.FIRST_COMPLETED
+        polling = {loop.create_task(self._poll(reader, connected=connected)) for reader in readers}
+        while polling:
+            started_at = self._clock.now()
+            timeout_seconds = None if connected.is_set() else FIRST_ANSWER_TIMEOUT_SECONDS
+            finished, polling = await asyncio.wait(
+                polling, timeout=timeout_seconds, return_when=asyncio.FIRST_COMPLETED
             )
-            if any(task.result() for task in answered):
+            if any(task.result() for task in finished):
                 return None
-            # Time in which this node itself stood still says nothing of the readers.
-            late = self._clock.now() - begun - FIRST_ANSWER_SECONDS
-            if not answered and not connected.is_set() and late < FIRST_ANSWER_SECONDS:
+            # A timeout that includes a stall of this node's own event loop does not count.
+            overrun = self._clock.now() - started_at - FIRST_ANSWER_TIMEOUT_SECONDS
+            if not finished and not connected.is_set() and overrun < FIRST_ANSWER_TIMEOUT_SECONDS:
                 break
         return "no reader answers" if connected.is_set() else "no reader takes connections"
 
     async def _pause(self, seconds: float) -> None:
         await asyncio.sleep(seconds * (0.75 + 0.5 * self._randomness.random()))
 
-    async def _ask(
+    async def _poll(
         self, reader: PeerView, hold: float = 0.0, connected: asyncio.Event | None = None
     ) -> bool:
-        """Ask a reader, or one that asks it; return whether it answered."""
-        reply = await self._sync.ask(
+        """Poll a reader, or a node that polls one; return whether it answered."""
+        reply = await self._sync.poll(
             reader.address, wants_news=True, hold=hold, connected=connected
         )
         if reply is None:
@@ -213,92 +217,95 @@
             return False
         reader.connected()
         delta = reply.configuration
-        # It would be told at once with each question.
+        # A delta that cannot be applied would be sent again with the reply to each poll, without
+        # any hold.
         self._is_unreadable = delta is not None and delta.version > self._holder.version
         if reply.store_away:
-            self._readers.turned_away(reader)
+            self._readers.note_store_rejection(reader)
         else:
             self._store_answered()
         return True
 
     async def _read(self) -> None:
         try:
-            taken = await self._read_once()
+            had_records = await self._read_once()
         except StoreUnavailableError as error:
             await self._store_failed(error)
             return
         self._store_answered()
-        if taken:
+        if had_records:
             await asyncio.sleep(SETTLE_SECONDS)
 
     async def _read_once(self) -> bool:
         """Read or wait once; return whether there were records."""
-        if self._is_doubted and not self._evacuated.is_doubted(self._clock.now()):
-            self._is_doubted = False
+        if self._is_reread_due and not self._evacuation_reading.is_doubted(self._clock.now()):
+            self._is_reread_due = False
             self._offset = None
         offset = self._offset
-        begun = self._clock.now()
+        started_at = self._clock.now()
         if offset is None:
             page = await self._store.newest(self._topic)
             self._check_era(page)
-            self._evacuated.take_list(page.records, self._clock.now())
+            self._evacuation_reading.take_list(page.records, self._clock.now())
         else:
-            following = await self._store.changes(self._topic, offset, self._wait())
-            if following is None:
-                # The records in between are not kept any more, or the store has come back from a
-                # copy that ends before them.
+            later_page = await self._store.changes(self._topic, offset, self._wait_seconds())
+            if later_page is None:
+                # The records since the offset are no longer retained, or the store has regressed
+                # to a copy that ends before it.
                 self._log.event("configuration_history_lost", offset=offset)
                 self._offset = None
                 return False
-            page = following
+            page = later_page
             self._check_era(page)
             if self._offset is None:
-                # Its offsets are not those that were asked for.
+                # The era has changed, so the requested offset belongs to another history.
                 return False
-            self._evacuated.take_changes(page.records)
+            self._evacuation_reading.take_changes(page.records)
         self._offset = page.end
-        has_records = self._take(page)
-        if self._lease.is_bound and not self._is_unread(page):
-            self._lease.confirmed(begun)
+        has_records = self._apply(page)
+        if self._lease.is_bound and not self._has_unreadable_configuration(page):
+            self._lease.confirmed(started_at)
         return has_records
 
-    def _is_unread(self, page: RecordPage) -> bool:
-        """Return whether a page holds a configuration that is not in force, being unreadable."""
+    def _has_unreadable_configuration(self, page: RecordPage) -> bool:
+        """Return whether the newest configuration of a page cannot be decoded."""
         published = [record for record in page.records if record.key == self._key and record.value]
         return bool(published) and self._decode(published[-1].value) is None
 
     def _check_era(self, page: RecordPage) -> None:
-        """Pass over an answer of a history that the store has left, as peers have told."""
+        """Reject a page of an older era than the one that peers have reported."""
         self._era.heard(page.era)
         if page.era is not None and page.era != self._era.current:
             self._offset = None
-            raise StoreUnavailableError(ResultCode.STORE_UNAVAILABLE, "of an earlier history")
+            raise StoreUnavailableError(
+                ResultCode.STORE_UNAVAILABLE, "the store's answer is of an earlier era"
+            )
 
     def _store_regressed(self) -> None:
-        """Read the newest records again, and once more when what was lost is written again."""
-        self._evacuated.store_regressed(self._clock.now())
-        self._is_doubted = True
+        """Read the newest records now, and again once lost records have been rewritten."""
+        self._evacuation_reading.store_regressed(self._clock.now())
+        self._is_reread_due = True
         self._offset = None
 
-    def _wait(self) -> float:
+    def _wait_seconds(self) -> float:
         if self._sync.store_away:
-            # Asks only whether the store is back.
+            # Only checks whether the store is available again.
             return 0.0
-        if self._is_doubted:
+        if self._is_reread_due:
             return MIN_WAIT_SECONDS
         spread = MAX_WAIT_SECONDS - MIN_WAIT_SECONDS
         wait = MIN_WAIT_SECONDS + self._randomness.random() * spread
         return min(wait, self._lease.longest_wait)
 
-    def _take(self, page: RecordPage) -> bool:
-        # First, so that no other node gets a configuration from here without them.
+    def _apply(self, page: RecordPage) -> bool:
+        # Evacuations first, so that no other node gets the configuration from here without them.
         revision = revision_at(page.era or 0, page.end)
-        wanted = self._evacuated.data_centres
+        wanted = self._evacuation_reading.data_centres
         self._evacuations.offer(revision, wanted, ConfigurationSource.STORE)
         published = [r.value for r in page.records if r.key == self._key and r.value]
         read = [configuration for raw in published if (configuration := self._decode(raw))]
         if read:
-            # Of a storm only the newest.
+            # Of many changes in one page only the newest takes effect.
             newest = max(read, key=lambda configuration: configuration.version)
             self._holder.offer(newest, ConfigurationSource.STORE)
         return bool(page.records)
--- a/src/hoisthook/mesh/crash_notifier.py
+++ b/src/hoisthook/mesh/crash_notifier.py
@@ -1,4 +1,4 @@
-"""Tells all nodes of a service which work has ended its backend servers."""
+"""Notifies all nodes of a service of work that has crashed its backend servers."""
 
 from __future__ import annotations
 
@@ -14,29 +14,30 @@
     from hoisthook.mesh.peer_sync import PeerSync
     from hoisthook.port.clock import Clock
 
-# Told at once; a node of a service with hundreds would else open as many connections together.
-TOLD_TOGETHER = 16
-# Who did not answer is told again, ever less often: one that was cut off has heard of it within
-# this time of the cut's end.
+# Bounds the connections opened at once in a service of hundreds of nodes.
+MAX_CONCURRENT_SENDS = 16
+# Exponential backoff for nodes that did not answer. The upper limit is the time within which a
+# partitioned node is notified after the partition ends.
 FIRST_PAUSE_SECONDS = 0.25
 MAX_PAUSE_SECONDS = 2.0
-# A cut that lasts longer is mended by the readers of the data centre, see `PeerSync`.
-TELLING_SECONDS = 120.0
+# After a longer partition a node gets the reports from the readers of its data centre, see
+# `PeerSync`.
+NOTIFY_TIMEOUT_SECONDS = 120.0
 
 
 class CrashNotifier:
-    """Tells the nodes beside the service's other backend servers, until each has heard.
+    """Sends crash reports to the other nodes of the service until each has acknowledged them.
 
-    Reports go straight to those who admit work for the service, rather than by way of the
-    readers: the work is back within half a second, and four backend servers were ended in a row
-    before a question to a reader would have come round.
+    Reports go directly to the nodes that admit work for the service, not through the readers: the
+    work comes back within half a second, and had crashed four backend servers in a row before the
+    next poll of a reader.
 
     Parameters
     ----------
     directory : PeerDirectory
-        Who they are.
+        Known nodes, among them those of the service.
     sync : PeerSync
-        Tells them.
+        Sends the reports.
     clock : Clock
         Monotonic.
     """
@@ -46,58 +47,60 @@
         self._sync = sync
         self._clock = clock
         self._tasks = BackgroundTasks()
-        self._is_telling = False
-        self._is_new = asyncio.Event()
+        self._is_notifying = False
+        self._has_changes = asyncio.Event()
 
     def tell(self) -> None:
-        """Tell all; while that is under way, all once more."""
-        self._is_new.set()
-        if not self._is_telling:
-            self._is_telling = True
-            self._tasks.start(self._tell())
+        """Notify all nodes; a notification that is in progress starts again with all of them."""
+        self._has_changes.set()
+        if not self._is_notifying:
+            self._is_notifying = True
+            self._tasks.start(self._notify_all())
 
     def close(self) -> None:
-        """Stop telling."""
+        """Cancel notifications in progress."""
         self._tasks.close()
 
-    async def _tell(self) -> None:
+    async def _notify_all(self) -> None:
         try:
-            await self._tell_until_heard()
+            await self._notify_until_acknowledged()
         finally:
-            self._is_telling = False
+            self._is_notifying = False
 
-    async def _tell_until_heard(self) -> None:
-        left: list[PeerView] = []
+    async def _notify_until_acknowledged(self) -> None:
+        pending: list[PeerView] = []
         pause = FIRST_PAUSE_SECONDS
-        until = self._clock.now() + TELLING_SECONDS
-        while self._is_new.is_set() or (left and self._clock.now() < until):
-            if self._is_new.is_set():
-                self._is_new.clear()
-                left = self._others()
+        until = self._clock.now() + NOTIFY_TIMEOUT_SECONDS
+        while self._has_changes.is_set() or (pending and self._clock.now() < until):
+            if self._has_changes.is_set():
+                self._has_changes.clear()
+                pending = self._others()
                 pause = FIRST_PAUSE_SECONDS
-                until = self._clock.now() + TELLING_SECONDS
-            left = await self._untold(left)
-            if left:
-                await self._wait_for_more(pause)
+                until = self._clock.now() + NOTIFY_TIMEOUT_SECONDS
+            pending = await self._send_reports(pending)
+            if pending:
+                await self._wait_for_changes(pause)
                 pause = min(MAX_PAUSE_SECONDS, 2 * pause)
 
-    async def _wait_for_more(self, seconds: float) -> None:
+    async def _wait_for_changes(self, seconds: float) -> None:
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds):
-                await self._is_new.wait()
+                await self._has_changes.wait()
 
     def _others(self) -> list[PeerView]:
         serving = self._directory.serving(self._directory.me.service)
         return [view for view in serving if not view.is_self]
 
-    async def _untold(self, views: list[PeerView]) -> list[PeerView]:
-        """Tell some nodes; return those that did not answer."""
-        silent: list[PeerView] = []
-        for start in range(0, len(views), TOLD_TOGETHER):
-            together = views[start : start + TOLD_TOGETHER]
-            tellings = [self._sync.tell_crashes(view.address) for view in together]
-            heard = await asyncio.gather(*tellings)
-            silent.extend(
-                view for view, has_heard in zip(together, heard, strict=True) if not has_heard
+    async def _send_reports(self, views: list[PeerView]) -> list[PeerView]:
+        """Send the reports to some nodes; return those that did not acknowledge."""
+        unacknowledged: list[PeerView] = []
+        for start in range(0, len(views), MAX_CONCURRENT_SENDS):
+            batch = views[start : start + MAX_CONCURRENT_SENDS]
+            sends = [self._sync.send_crash_reports(view.address) for view in batch]
+            acknowledgements = await asyncio.gather(*sends)
+            unacknowledged.extend(
+                view
+                for view, is_acknowledged in zip(batch, acknowledgements, strict=True)
+                if not is_acknowledged
             )
-        return silent
+        return unacknowledged
--- a/src/hoisthook/mesh/crash_protection.py
+++ b/src/hoisthook/mesh/crash_protection.py
@@ -1,4 +1,4 @@
-"""A node's parts against work that ends backend servers, put together."""
+"""Sets up a node's protection against work that crashes backend servers."""
 
 from __future__ import annotations
 
@@ -20,23 +20,23 @@
 
 
 class CrashProtection:
-    """What a node knows, sees, tells and keeps of work that ends backend servers.
+    """Detects, collects, announces and stores crashes of backend servers and the work blamed.
 
     Parameters
     ----------
     service : ServiceName
-        Of the backend server beside.
+        Service of the local backend server.
     clock : Clock
         Monotonic.
     log : EventLog
-        Gets a line for each work that is refused.
+        Receives an event for each work that is refused.
 
     Attributes
     ----------
     evidence : CrashEvidence
-        What it knows.
+        Crashes known to this node, its own and those reported by others.
     crash_monitor : CrashMonitor
-        What it sees beside.
+        Blames running work when the local backend server crashes.
     """
 
     def __init__(self, service: ServiceName, clock: Clock, log: EventLog) -> None:
@@ -47,21 +47,21 @@
         self.evidence = CrashEvidence(log)
         self.crash_monitor = CrashMonitor(service, self.evidence, clock)
 
-    def tell_by(self, directory: PeerDirectory, sync: PeerSync) -> None:
-        """Tell the other nodes of the service from now on."""
+    def notify_through(self, directory: PeerDirectory, sync: PeerSync) -> None:
+        """Notify the other nodes of the service of crashes from now on."""
         self._notifier = CrashNotifier(directory, sync, self._clock)
         self.crash_monitor.on_reported(self._notifier.tell)
 
-    def keep_in(self, store: RecordStore, topic: str, era: StoreEra) -> CrashRecords:
-        """Keep in the store what is refused from now on; return what reads it there."""
+    def persist_in(self, store: RecordStore, topic: str, era: StoreEra) -> CrashRecords:
+        """Store records of refused work from now on; return the object that reads them back."""
         self._records = CrashRecords(
             topic, store, self.evidence, self.crash_monitor, self._clock, self._log
         )
-        era.on_change(self._records.write_again)
+        era.on_change(self._records.rewrite)
         return self._records
 
     def close(self) -> None:
-        """Stop telling and writing."""
+        """Cancel notifications and writes in progress."""
         if self._notifier is not None:
             self._notifier.close()
         if self._records is not None:
--- a/src/hoisthook/mesh/crash_records.py
+++ b/src/hoisthook/mesh/crash_records.py
@@ -1,4 +1,4 @@
-"""Keeps in the platform's store which work is refused, so that it outlasts all nodes."""
+"""Records of refused work in the platform's store, which survive a restart of all nodes."""
 
 from __future__ import annotations
 
@@ -25,21 +25,21 @@
     from hoisthook.port.record_store import RecordStore
     from hoisthook.retry.crash_evidence import CrashEvidence
 
-# Keys of the nodes' topic that begin so are no nodes.
+# Prefix of the keys of crash records, which share a topic with the nodes' registrations.
 KEY_PREFIX = "crash/"
-# Between two tries while the store is away; a verdict is in force without it.
+# Pause between two attempts while the store is unavailable; a refusal is in force without it.
 RETRY_SECONDS = 1.0
 
 
 class CrashRecord(msgspec.Struct, frozen=True):
-    """What was held against some work when it was refused.
+    """The crash reports on which the refusal of some work is based.
 
     Attributes
     ----------
     at : float
-        Unix seconds of the writing.
+        Time of writing in Unix seconds.
     reports : list of CrashReport
-        With their ages at that time.
+        Reports with their ages at that time.
     """
 
     at: float
@@ -47,28 +47,29 @@
 
 
 class CrashRecords:
-    """Writes and reads records of refused work, in the topic of the nodes.
+    """Writes and reads records of refused work in the topic of the nodes' registrations.
 
-    Where all nodes of a service lose power at once, none is left to tell the others, and the work
-    would end three backend servers anew. Only nodes whose own backend server ended under the work
-    write, three calls to the store at most for each work that is refused, and three to remove it.
+    If all nodes of a service lose power at once, none is left to notify the others, and the work
+    would crash three more backend servers. Only nodes whose own backend server crashed under the
+    work write a record: at most three calls to the store for each refused work, and three to
+    remove it.
 
     Parameters
     ----------
     topic : str
-        The nodes'.
+        Topic of the nodes' registrations.
     store : RecordStore
-        The platform's.
+        The platform's store.
     evidence : CrashEvidence
-        What is written, and gets what is read.
+        Source of the reports that are written, and receiver of those that are read.
     crash_monitor : CrashMonitor
-        Tells whether this node has seen an end under the work itself.
+        Knows whether the local backend server has crashed under the work.
     clock : Clock
         Monotonic.
     log : EventLog
-        Gets a line for each record that cannot be read, and for each try to write that failed.
+        Receives an event for each record that cannot be decoded and for each failed write.
     wall : callable
-        Returns Unix seconds.
+        Returns the current time in Unix seconds.
     """
 
     def __init__(
@@ -89,55 +90,55 @@
         self._clock = clock
         self._log = log
         self._wall = wall
-        self._writing = BackgroundTasks()
-        # What this node keeps in the store now.
-        self._kept_by_key: dict[str, KeyedRecord] = {}
-        evidence.on_refused(self._refused)
+        self._write_tasks = BackgroundTasks()
+        # Records that this node maintains in the store.
+        self._persisted_by_key: dict[str, KeyedRecord] = {}
+        evidence.on_refused(self._on_refused)
 
     def close(self) -> None:
-        """Stop writing."""
-        self._writing.close()
+        """Cancel writes in progress."""
+        self._write_tasks.close()
 
-    def take(self, record: KeyedRecord) -> bool:
-        """Take in a record of the nodes' topic; return whether it is one of refused work."""
+    def apply(self, record: KeyedRecord) -> bool:
+        """Apply a record of the topic; return whether it is one of refused work."""
         if not record.key.startswith(KEY_PREFIX):
             return False
         try:
-            found = msgspec.json.decode(record.value, type=CrashRecord)
+            decoded = msgspec.json.decode(record.value, type=CrashRecord)
         except msgspec.DecodeError as error:
             self._log.event("crash_record_unreadable", key=record.key, reason=str(error))
             return True
-        # The time of day may have been set back meanwhile.
-        since = max(0.0, self._wall() - found.at)
-        aged = [msgspec.structs.replace(r, age=r.age + since) for r in found.reports]
+        # The wall clock may have been set back since.
+        elapsed_seconds = max(0.0, self._wall() - decoded.at)
+        aged = [msgspec.structs.replace(r, age=r.age + elapsed_seconds) for r in decoded.reports]
         self._evidence.merge(aged, self._clock.now())
         return True
 
-    def write_again(self) -> None:
-        """Write what the store may have lost with the copy that it came back from."""
-        for record in self._kept_by_key.values():
-            self._writing.start(self._write(record))
+    def rewrite(self) -> None:
+        """Write records again that the store may have lost when it regressed to an older copy."""
+        for record in self._persisted_by_key.values():
+            self._write_tasks.start(self._write(record))
 
-    def _refused(self, service: ServiceName, work: WorkId) -> None:
+    def _on_refused(self, service: ServiceName, work: WorkId) -> None:
         if not self._crash_monitor.has_blamed(work):
             return
         reports = list(self._evidence.reports_of(service, work, self._clock.now()))
         value = msgspec.json.encode(CrashRecord(self._wall(), reports))
         record = KeyedRecord(f"{KEY_PREFIX}{work}", value)
-        self._writing.start(self._keep_while_refused(record, service, work))
+        self._write_tasks.start(self._persist_while_refused(record, service, work))
 
-    async def _keep_while_refused(
+    async def _persist_while_refused(
         self, record: KeyedRecord, service: ServiceName, work: WorkId
     ) -> None:
-        """Write a record and remove it once the work is refused no more.
+        """Write a record and remove it once the work is no longer refused.
 
-        What a writer that ends leaves behind is too old to count, and stays.
+        The record of a node that stops before then remains, and is ignored once it has expired.
         """
-        self._kept_by_key[record.key] = record
+        self._persisted_by_key[record.key] = record
         await self._write(record)
-        while (left := self._evidence.refused_for(service, work, self._clock.now())) > 0:
-            await asyncio.sleep(left)
-        del self._kept_by_key[record.key]
+        while (remaining := self._evidence.refused_for(service, work, self._clock.now())) > 0:
+            await asyncio.sleep(remaining)
+        del self._persisted_by_key[record.key]
         await self._write(KeyedRecord(record.key, b""))
 
     async def _write(self, record: KeyedRecord) -> None:
--- a/src/hoisthook/mesh/hop_server.py
+++ b/src/hoisthook/mesh/hop_server.py
@@ -87,7 +87,7 @@
         if header is None:
             await self._answer(exchange, Refused(ResultCode.REQUEST_MALFORMED, NO_RETRY_AFTER))
             return
-        self._sync.heard((exchange.peer[0], self._sync.peer_port), header.configuration)
+        self._sync.note_peer_version((exchange.peer[0], self._sync.peer_port), header.configuration)
         if header.service != self._service:
             await self._answer(exchange, Refused(ResultCode.SERVICE_ELSEWHERE, NO_RETRY_AFTER))
             return
--- a/src/hoisthook/mesh/mesh_node.py
+++ b/src/hoisthook/mesh/mesh_node.py
@@ -1,4 +1,4 @@
-"""A node on the path of routed requests: its parts, put together, started and closed."""
+"""A node that routes requests: creates, starts and closes its components."""
 
 from __future__ import annotations
 
@@ -59,41 +59,42 @@
     from hoisthook.traffic.configuration_exchange import ConfigurationDecoder
     from hoisthook.traffic.traffic_configuration import TrafficConfiguration
 
-# Backend servers close idle connections after a few seconds; one kept for less is still open.
+# Shorter than the few seconds after which backend servers close idle connections.
 BACKEND_IDLE_SECONDS = 4.0
-# Kept for less than the other node's server keeps it, see `CallServer`.
+# Shorter than the idle timeout of the other node's server, see `CallServer`.
 PEER_IDLE_SECONDS = 30.0
 HOUSEKEEPING_SECONDS = 2.0
-# Before a task that failed is started again.
+# Pause before a failed background task is restarted.
 RESTART_SECONDS = 0.5
-# How long callers go on sending after readiness is withdrawn: two questions a second apart.
+# Time for which callers continue to send after readiness is withdrawn: two readiness checks one
+# second apart.
 LINGER_SECONDS = 2.6
-# How much of it passes before nothing more is admitted at the backend server. Other nodes notice
-# with the next request that they send here, and connections close 0.7 s later.
-LEAVING_SECONDS = 2.2
-# Left of the grace for what the process does last.
+# Part of this time in which the backend server still admits requests. Other nodes notice the
+# shutdown with the next request that they send here, and connections close 0.7 s later.
+ADMIT_WHILE_LEAVING_SECONDS = 2.2
+# Part of the grace period that is left for the end of the process itself.
 CLOSE_MARGIN_SECONDS = 0.5
 
 
 class MeshNode:
-    """One process beside one backend server, on the platform.
+    """The node process of one backend server on the platform.
 
     Parameters
     ----------
     settings : MeshSettings
-        Checked.
+        Validated settings.
     caller_wire : CallerWire
-        How callers speak.
+        Protocol of the callers.
     backend_wire : BackendWire
-        How the backend server is spoken to.
+        Protocol of the backend server.
     store : RecordStore
-        The platform's.
+        The platform's store.
     decode : ConfigurationDecoder
-        Reads what operators publish.
+        Decodes the configuration that operators publish.
     clock : Clock
-        Monotonic, the loop's own.
+        Monotonic clock of the event loop.
     log : EventLog
-        Gets decisions and events.
+        Receives decisions and events.
     """
 
     def __init__(
@@ -117,12 +118,12 @@
         self._peer_pool = ClientPool(idle_limit=PEER_IDLE_SECONDS)
         self.stopping = False
         self.configuration = ConfigurationHolder(log)
-        self.configuration.on_change(self._configured)
+        self.configuration.on_change(self._apply_configuration)
         self.evacuations = Evacuations(log)
-        self.evacuations.on_change(self._evacuated)
+        self.evacuations.on_change(self._apply_evacuations)
         service = ServiceName(settings.node.service)
         self.crashes = CrashProtection(service, clock, log)
-        self.directory = PeerDirectory(self._me(service), log)
+        self.directory = PeerDirectory(self._own_peer(service), log)
         retry = RetrySettings(
             settings.retry.ratio, settings.retry.window_seconds, settings.retry.extra
         )
@@ -157,7 +158,7 @@
             self._randomness,
             log,
         )
-        self.crashes.tell_by(self.directory, self.sync)
+        self.crashes.notify_through(self.directory, self.sync)
         self._quotas = TeamQuotas(settings.teams, self.directory, self._peer_pool, clock, log)
         self.sync.on_contact(self._quotas.contacted)
         readers = StoreReaders(self.directory, clock, settings.store.readers_per_data_centre)
@@ -168,7 +169,7 @@
             store,
             self.sync,
             readers,
-            self.crashes.keep_in(store, settings.store.nodes_topic, self.era),
+            self.crashes.persist_in(store, settings.store.nodes_topic, self.era),
             self.era,
             clock,
             self._randomness,
@@ -187,7 +188,7 @@
             lease=self.key_lease,
             sync=self.sync,
             readers=readers,
-            listed=self.directory.listed,
+            peers_known=self.directory.peers_known,
             clock=clock,
             randomness=self._randomness,
             log=log,
@@ -203,21 +204,21 @@
 
     @property
     def callers_address(self) -> Address:
-        """Return where callers reach the node."""
+        """Return the address that accepts requests of callers."""
         return self._callers.address
 
     @property
     def peers_address(self) -> Address:
-        """Return where other nodes reach it."""
+        """Return the address that accepts requests of other nodes."""
         return self._peers.address
 
     @property
     def ready(self) -> bool:
-        """Return whether callers may be sent here."""
+        """Return whether the node accepts requests of callers."""
         return not self.stopping and self.configuration.current is not None
 
     async def start(self) -> None:
-        """Open the sockets and begin to follow the store.
+        """Open the listening sockets and start the background tasks.
 
         Raises
         ------
@@ -240,43 +241,46 @@
         )
 
     def abort(self) -> None:
-        """Drop everything at once, as a crash would."""
+        """Close all sockets and connections at once, as a crash would."""
         for task in self._tasks:
             task.cancel()
         self._callers.abort()
         self._peers.abort()
-        self._forget_connections()
+        self._close_connections()
 
     async def close(self) -> bool:
-        """Leave: work at the backend server that no other can start, then none, then the end.
+        """Shut down gracefully: withdraw readiness, then stop admission, then close connections.
 
-        While several nodes of a service are replaced in turn, its backend servers would
-        stand idle if each node refused all work from the signal on.
+        For the first part of the shutdown, the backend server still admits requests that no other
+        node can run. If each node rejected all requests from the signal on, the backend servers of
+        a service would be idle while its nodes are replaced one after another.
 
         Returns
         -------
         bool
-            Whether every request in progress ended by itself.
+            Whether every request in progress completed within the grace period.
         """
         self._log.event("stopping")
         self.stopping = True
         self._callers.stopping = True
         self._hop.leaving = True
         self.link.leaving = True
-        await asyncio.sleep(LEAVING_SECONDS)
+        await asyncio.sleep(ADMIT_WHILE_LEAVING_SECONDS)
         self.link.stopping = True
         self.link.gate.refuse_waiting()
-        await asyncio.sleep(LINGER_SECONDS - LEAVING_SECONDS)
-        left = self.settings.shutdown.grace_seconds - LINGER_SECONDS - CLOSE_MARGIN_SECONDS
-        ended = await asyncio.gather(self._callers.close(left), self._peers.close(left))
+        await asyncio.sleep(LINGER_SECONDS - ADMIT_WHILE_LEAVING_SECONDS)
+        remaining = self.settings.shutdown.grace_seconds - LINGER_SECONDS - CLOSE_MARGIN_SECONDS
+        are_complete = await asyncio.gather(
+            self._callers.close(remaining), self._peers.close(remaining)
+        )
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        self._forget_connections()
-        self._log.event("stopped", whole=all(ended))
-        return all(ended)
+        self._close_connections()
+        self._log.event("stopped", whole=all(are_complete))
+        return all(are_complete)
 
-    def _forget_connections(self) -> None:
+    def _close_connections(self) -> None:
         self._stalls.close()
         self.crashes.close()
         self._quotas.close()
@@ -286,7 +290,7 @@
         self._backend_pool.close()
         self._peer_pool.close()
 
-    def _me(self, service: ServiceName) -> Peer:
+    def _own_peer(self, service: ServiceName) -> Peer:
         node = self.settings.node
         return Peer(
             node=NodeId(node.id),
@@ -297,7 +301,7 @@
         )
 
     def status(self) -> NodeStatus:
-        """Return what the node is like at this moment."""
+        """Return a snapshot of the node's state."""
         load = self.link.load()
         return NodeStatus(
             ready=self.ready,
@@ -338,7 +342,7 @@
             self._log,
         )
 
-    def _configured(self, configuration: TrafficConfiguration) -> None:
+    def _apply_configuration(self, configuration: TrafficConfiguration) -> None:
         service = ServiceName(self.settings.node.service)
         self.link.has_traits(configuration.traits_by_service.get(service))
         if any(team.quota is not None for team in configuration.teams.by_name.values()):
@@ -349,7 +353,7 @@
             self._callers.idle_timeout = limits.idle_timeout
             self._callers.max_head_bytes = limits.max_head_bytes
 
-    def _evacuated(self) -> None:
+    def _apply_evacuations(self) -> None:
         self.link.evacuate(evacuated=self.directory.me.data_centre in self.evacuations)
 
     async def _serve_peer(self, exchange: ServerExchange) -> None:
@@ -372,7 +376,7 @@
         self._tasks.extend(loop.create_task(self._keep_running(run)) for run in runs)
 
     async def _keep_running(self, run: Callable[[], Awaitable[None]]) -> None:
-        """Run a task for the node's whole life; one that fails is told of and started again."""
+        """Run a background task until the node closes; log a failure and restart the task."""
         while True:
             try:
                 await run()
--- a/src/hoisthook/mesh/node_status.py
+++ b/src/hoisthook/mesh/node_status.py
@@ -1,4 +1,4 @@
-"""What a node is like at one moment, for its metrics."""
+"""Snapshot of a node's state for its metrics."""
 
 from __future__ import annotations
 
@@ -11,36 +11,36 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeStatus:
-    """Beliefs and load.
+    """State and load of a node at one moment.
 
     Attributes
     ----------
     ready : bool
-        Whether callers may be sent here.
+        Whether the node accepts requests of callers.
     backend_state : str
-        State of the backend server beside.
+        Observed state of the local backend server.
     running, waiting, limit : int
-        Requests that hold a slot, that wait for one, and how many may run.
+        Requests that hold a slot, requests that wait for one, and the limit on running ones.
     slowdown : float
-        How many times its usual time work takes at the backend server.
+        Ratio of the current to the usual execution time at the backend server.
     configuration : int
-        Version in force; -1 for none.
+        Version of the configuration in force; -1 for none.
     peers : int
-        Other nodes that are known.
+        Number of other known nodes.
     store_away : bool
         Whether the platform's store does not answer.
     backend_connections : int
         Connections opened to the backend server since the start.
     evacuated : int
-        Data centres that operators have evacuated.
+        Number of data centres that operators have evacuated.
     cold : bool
-        Whether the backend server says that it is cold.
+        Whether the backend server reports a cold start.
     refused_work : int
-        Works refused because several backend servers ended under them.
+        Number of works refused because several backend servers crashed under them.
     repeats : RepeatStatus
-        The budget of repeats at the backend server.
+        State of the repeat budget of the backend server.
     stalled_seconds : float
-        For how long the event loop has stood still since the start.
+        Total time for which the event loop has stalled since the start.
     """
 
     ready: bool
--- a/src/hoisthook/mesh/peer.py
+++ b/src/hoisthook/mesh/peer.py
@@ -1,4 +1,4 @@
-"""Another node, and what this node believes of its load."""
+"""Another node and its load, as observed by this node."""
 
 from __future__ import annotations
 
@@ -16,40 +16,41 @@
 if TYPE_CHECKING:
     from hoisthook.mesh.node_load import NodeLoad
 
-# How fast a load report loses its value: load shifts every few hundred milliseconds.
-REPORT_LIFE_SECONDS = 0.3
-# How fast a report of failures loses its value. Who is not chosen for them is not heard from
-# again, so without it a backend server is left alone for good: the calls under a service failed
-# for 8 s, and 88 % of its requests still went to other data centres 8 s after that had ended,
-# the last known reports of the near ones being from that time.
-FAILING_LIFE_SECONDS = 3.0
-# What is assumed where no report holds any more.
-USUAL_SLOWDOWN = 1.5
-USUAL_LOAD_SHARE = 0.3
-# What this node has heard itself within this time counts for more than what others found: their
-# findings are up to two questions old.
-FRESHER_THAN_HEARSAY_SECONDS = 1.5
-# For how long a node that was silent is sent nothing whole that it has not asked for.
-DOUBT_SECONDS = 10.0
+# Time constant with which a load report loses weight: load shifts every few hundred milliseconds.
+REPORT_DECAY_SECONDS = 0.3
+# Time constant with which a reported failure rate loses weight. A node avoided for its failures
+# sends no new report, so without the decay it would be avoided for good: after the calls of a
+# service had failed for 8 s, 88 % of its requests still went to other data centres 8 s later,
+# because the last reports of the local nodes dated from the failure.
+FAILURE_DECAY_SECONDS = 3.0
+# Assumed where no report is known or the last one has lost its weight.
+DEFAULT_SLOWDOWN = 1.5
+DEFAULT_LOAD_SHARE = 0.3
+# A load report received within this time overrides the reachability reports of others, which are
+# up to two polling intervals old.
+OWN_REPORT_PRECEDENCE_SECONDS = 1.5
+# For this time after a node was unresponsive, it is sent the rest of a request only once it has
+# asked for it.
+HOLD_BACK_SECONDS = 10.0
 FIRST_BACKOFF_SECONDS = 0.25
 MAX_BACKOFF_SECONDS = 4.0
 
 
 class Peer(msgspec.Struct, frozen=True):
-    """A node as it registers itself.
+    """A node as it is registered in the store.
 
     Attributes
     ----------
     node : NodeId
-        Its id.
+        The node's id.
     address : str
-        Where other nodes reach it, ``host:port``.
+        Address at which other nodes reach it, ``host:port``.
     service : ServiceName
-        What the backend server beside it serves.
+        Service of its local backend server.
     data_centre : DataCentre
-        Where it stands.
+        Data centre in which it runs.
     link_mbps : float
-        How much its link carries, in megabits a second; 0 if it does not say.
+        Bandwidth of its network link in megabits per second; 0 if not configured.
     """
 
     node: NodeId
@@ -60,20 +61,20 @@
 
 
 class PeerView:
-    """A peer with its last load report and what this node has under way there.
+    """A peer with its last load report and the requests that this node has in flight there.
 
-    A peer that could not be reached is suspected: requests go to others until a connection
-    that no request waits for has been opened to it. With instances that are gone for good, each
-    request that tried one waited 100 ms for its connection: 760 of 2,500 in 20 s at 33 nodes.
+    A peer that could not be reached is suspected: requests go to others until a probe, a connection
+    that no request waits for, succeeds. Without it, each request that tried an instance removed
+    for good waited 100 ms for its connection: 760 of 2,500 requests in 20 s at 33 nodes.
 
     Parameters
     ----------
     peer : Peer
-        Who.
+        The node's registration.
     is_self : bool
         Whether it is this node.
     same_data_centre : bool
-        Whether it stands in this node's data centre.
+        Whether it runs in this node's data centre.
     """
 
     def __init__(self, peer: Peer, *, is_self: bool, same_data_centre: bool) -> None:
@@ -83,109 +84,109 @@
         self.address: Address = parse_address(peer.address)
         self.in_flight = 0
         self.closed_until = -math.inf
-        # Its budget of repeats is spent; first tries go there as ever.
+        # The backend server is over its repeat budget; first attempts are not affected.
         self.no_repeats_until = -math.inf
-        # Only what befell the node itself; it answers questions whatever is beside it.
-        self.away_until = -math.inf
+        # Set by failures of the node itself only: a node answers polls without a backend server.
+        self.unreachable_until = -math.inf
         self.suspected = False
         self.load: NodeLoad | None = None
         self.load_at = -math.inf
-        self._sent_since = 0
-        self._silent_at = -math.inf
-        self._away_seconds = 0.0
+        self._sent_since_report = 0
+        self._unresponsive_at = -math.inf
+        self._unavailable_seconds = 0.0
         self._backoff = FIRST_BACKOFF_SECONDS
 
     def sent(self) -> None:
-        """Note a request sent there."""
+        """Record that a request was sent to the peer."""
         self.in_flight += 1
-        self._sent_since += 1
+        self._sent_since_report += 1
 
     def ended(self) -> None:
-        """Note that a request sent there is over."""
+        """Record that a request sent to the peer has finished."""
         self.in_flight -= 1
 
     def reported(self, load: NodeLoad, now: float) -> None:
-        """Take in a load report; the peer can be reached."""
+        """Apply a load report, which also shows that the peer is reachable."""
         self.load = load
         self.load_at = now
-        self._sent_since = 0
+        self._sent_since_report = 0
         self._backoff = FIRST_BACKOFF_SECONDS
         self.suspected = False
 
     def connected(self) -> None:
-        """Note that the peer takes connections; only a report resets the backoff."""
+        """Record that the peer accepts connections; only a load report resets the backoff."""
         self.suspected = False
 
     def others_suspect(self, now: float) -> None:
-        """Suspect the peer on the word of others, unless it has just reported."""
-        if self.age(now) > FRESHER_THAN_HEARSAY_SECONDS:
+        """Suspect the peer on reports of other nodes, unless it has just sent a load report."""
+        if self.age(now) > OWN_REPORT_PRECEDENCE_SECONDS:
             self.suspected = True
-            self._silent_at = now
+            self._unresponsive_at = now
 
     def unreachable(self, now: float) -> float:
-        """Suspect the peer, to be probed after a while that doubles; return the seconds."""
+        """Suspect the peer; return the seconds until the next probe, which double each time."""
         self.suspected = True
         seconds = self._backoff
         self.closed_until = now + seconds
-        self.away_until = self.closed_until
+        self.unreachable_until = self.closed_until
         self._backoff = min(MAX_BACKOFF_SECONDS, seconds * 2)
         return seconds
 
-    def backend_server_away(self, seconds: float, now: float) -> None:
-        """Leave the peer alone, each time twice as long, until it serves a request again.
+    def backend_server_unavailable(self, seconds: float, now: float) -> None:
+        """Send nothing to the peer for a time that doubles until it serves a request again.
 
-        After a restart of all 46 of 233 nodes had no backend server any more; asked every
-        0.3 s, they turned away 1,324 of 14,000 tries in 5 s.
+        With a constant interval of 0.3 s, 46 of 233 nodes that had no backend server after a
+        restart of all rejected 1,324 of 14,000 attempts in 5 s.
         """
-        seconds = max(seconds, self._away_seconds)
+        seconds = max(seconds, self._unavailable_seconds)
         self.close_until(now + seconds)
-        self._away_seconds = min(MAX_BACKOFF_SECONDS, seconds * 2)
+        self._unavailable_seconds = min(MAX_BACKOFF_SECONDS, seconds * 2)
 
     def silent(self, now: float) -> None:
-        """Note that the peer did not say whether it runs a request."""
-        self._silent_at = now
+        """Record that the peer did not answer whether it runs a request."""
+        self._unresponsive_at = now
 
-    def may_be_silent(self, now: float) -> bool:
-        """Return whether what is sent there had better be held back until the peer asks for it.
+    def may_be_unresponsive(self, now: float) -> bool:
+        """Return whether to hold back the rest of a request until the peer asks for it.
 
-        Load pattern: nodes pause in series, or packets get lost. What was given up at a silent
-        node may arrive there when another has run it already. A node that was silent is likely
-        to be so again; what it has not asked for never arrives, and may go elsewhere for nothing.
-        The price is one more way there and back.
+        Load pattern: nodes pause one after another, or packets get lost. A request given up at an
+        unresponsive node may arrive there after another node has executed it. A node that was
+        unresponsive is likely to be so again; a request whose rest it has not asked for cannot run
+        there and can be sent elsewhere without risk, at the cost of one more round trip.
         """
-        return now - self._silent_at < DOUBT_SECONDS
+        return now - self._unresponsive_at < HOLD_BACK_SECONDS
 
     def served(self) -> None:
-        """Note that the peer's backend server answered a request."""
-        self._away_seconds = 0.0
+        """Record that the peer's backend server answered a request."""
+        self._unavailable_seconds = 0.0
 
-    def close_until(self, moment: float) -> None:
-        """Send nothing there before ``moment`` unless nothing else is left."""
-        self.closed_until = max(self.closed_until, moment)
+    def close_until(self, until_time: float) -> None:
+        """Send nothing to the peer before ``until_time`` unless no other node is left."""
+        self.closed_until = max(self.closed_until, until_time)
 
     def age(self, now: float) -> float:
-        """Return the seconds since the last report."""
+        """Return the seconds since the last load report."""
         return now - self.load_at
 
     def expected_slowdown(self, now: float) -> float:
-        """Return the slowdown to expect; an old report fades towards the usual."""
+        """Return the expected slowdown; an old report decays towards the default."""
         if self.load is None:
-            return USUAL_SLOWDOWN
-        weight = math.exp(-self.age(now) / REPORT_LIFE_SECONDS)
-        return weight * self.load.slowdown + (1.0 - weight) * USUAL_SLOWDOWN
+            return DEFAULT_SLOWDOWN
+        weight = math.exp(-self.age(now) / REPORT_DECAY_SECONDS)
+        return weight * self.load.slowdown + (1.0 - weight) * DEFAULT_SLOWDOWN
 
     def expected_failing(self, now: float) -> float:
-        """Return the share of failed answers to expect; an old report fades to none."""
+        """Return the expected share of failed answers; an old report decays towards zero."""
         if self.load is None:
             return 0.0
-        return math.exp(-self.age(now) / FAILING_LIFE_SECONDS) * self.load.failing
+        return math.exp(-self.age(now) / FAILURE_DECAY_SECONDS) * self.load.failing
 
     def expected_load_share(self, now: float) -> float:
-        """Return the share of its slots to expect in use."""
+        """Return the expected share of its slots in use; an old report decays to the default."""
         if self.load is None:
-            return USUAL_LOAD_SHARE
-        weight = math.exp(-self.age(now) / REPORT_LIFE_SECONDS)
+            return DEFAULT_LOAD_SHARE
+        weight = math.exp(-self.age(now) / REPORT_DECAY_SECONDS)
         limit = max(1, self.load.limit)
-        reported = (self.load.running + self.load.waiting + self._sent_since) / limit
-        usual = max(USUAL_LOAD_SHARE, self.in_flight / limit)
-        return weight * reported + (1.0 - weight) * usual
+        reported = (self.load.running + self.load.waiting + self._sent_since_report) / limit
+        default = max(DEFAULT_LOAD_SHARE, self.in_flight / limit)
+        return weight * reported + (1.0 - weight) * default
--- a/src/hoisthook/mesh/peer_directory.py
+++ b/src/hoisthook/mesh/peer_directory.py
@@ -1,4 +1,4 @@
-"""The nodes that this node knows, by the service beside them."""
+"""The nodes that this node knows, by the service of their backend servers."""
 
 from __future__ import annotations
 
@@ -23,45 +23,46 @@
     from hoisthook.mesh.peer import Peer
     from hoisthook.port.event_log import EventLog
 
-# Of a list that is new as a whole, as at a start, the line names only the first.
+# Limits the log line of a list that is entirely new, as at a start.
 MAX_LOGGED_PEERS = 10
 
 
 class PeerDirectory:
-    """Registered nodes; each is known by its id, and an address belongs to the newest.
+    """Registered nodes by id and by service; a newer registration replaces the older one.
 
     Parameters
     ----------
     me : Peer
         This node.
     log : EventLog
-        Gets a line for each node that is added or dropped.
+        Receives an event for nodes that are added, dropped or malformed.
 
     Attributes
     ----------
-    findings : ReachabilityReports
-        What this node has found out about others itself.
+    reachability_reports : ReachabilityReports
+        Which nodes this node could or could not reach itself, and reports of others to forward.
     digest : int
-        Equal in two directories that hold the same nodes.
-    told : asyncio.Event
-        Set once another node has told this one of all nodes unasked.
-    listed : asyncio.Event
+        Equal in two directories that hold the same registrations.
+    full_list_received : asyncio.Event
+        Set once another node has sent the list of all nodes without being asked.
+    peers_known : asyncio.Event
         Set once the store's list has been read or any other node is known.
     is_complete : bool
-        Whether all nodes are known that were registered: the store's list has been read, or another
-        node has told it. What is divided by their number must not be divided by a few.
+        Whether all registered nodes are known: the store's list has been read, or another node has
+        sent it. Until then, shares must not be computed from the number of known nodes, which may
+        be far too small.
     """
 
     def __init__(self, me: Peer, log: EventLog) -> None:
         self._log = log
         self._change_log = ChangeLog()
-        self.findings = ReachabilityReports()
+        self.reachability_reports = ReachabilityReports()
         self._by_node: dict[NodeId, PeerView] = {}
         self._by_service: dict[ServiceName, dict[NodeId, PeerView]] = {}
         self.me = me
         self.digest = 0
-        self.told = asyncio.Event()
-        self.listed = asyncio.Event()
+        self.full_list_received = asyncio.Event()
+        self.peers_known = asyncio.Event()
         self.is_complete = False
         self._add(me)
 
@@ -70,7 +71,7 @@
 
     @property
     def revision(self) -> int:
-        """Return the revision of what is known; it grows with each node that is added."""
+        """Return the revision of the directory; it grows with each node that is added."""
         return self._change_log.revision
 
     def peers(self) -> list[Peer]:
@@ -82,33 +83,33 @@
         return [self._by_node[node].peer for node in self._change_log.since(revision)]
 
     def views(self) -> Iterable[PeerView]:
-        """Return what is believed of all known nodes, this one included."""
+        """Return the observed state of all known nodes, this one included."""
         return self._by_node.values()
 
     def others_suspect(self, nodes: Iterable[NodeId], now: float) -> None:
-        """Suspect nodes on the word of others."""
-        for view in self._known(nodes):
+        """Suspect nodes that others have reported as unreachable."""
+        for view in self._known_views(nodes):
             view.others_suspect(now)
 
     def others_reached(self, nodes: Iterable[NodeId]) -> None:
-        """Trust nodes again on the word of others."""
-        for view in self._known(nodes):
+        """Clear the suspicion of nodes that others have reported as reachable."""
+        for view in self._known_views(nodes):
             view.connected()
 
     def others(self) -> list[PeerView]:
-        """Return all known nodes but this one."""
+        """Return the views of all known nodes except this one."""
         return [view for view in self._by_node.values() if not view.is_self]
 
     def serving(self, service: ServiceName) -> Collection[PeerView]:
-        """Return the nodes beside backend servers of a service."""
+        """Return the nodes of the backend servers of a service."""
         return self._by_service.get(service, {}).values()
 
     def nodes_of_own_service(self) -> list[NodeId]:
-        """Return the nodes beside backend servers of this node's service, itself included."""
+        """Return the nodes of the backend servers of this node's service, itself included."""
         return list(self._by_service.get(self.me.service, {}))
 
     def merge(self, peers: Iterable[Peer], source: str) -> int:
-        """Take in nodes; return how many were new or had changed."""
+        """Add or replace nodes; return how many were new or had changed."""
         added: list[NodeId] = []
         for peer in peers:
             known = self._by_node.get(peer.node)
@@ -121,19 +122,19 @@
             self._add(peer)
             added.append(peer.node)
         if added:
-            self.listed.set()
-            # One line however many they are: 195 lines at each start took 4.3 ms of processor time.
+            self.peers_known.set()
+            # One log line for all: 195 lines at each start took 4.3 ms of CPU time.
             self._log.event(
                 "peers_added", count=len(added), peers=added[:MAX_LOGGED_PEERS], source=source
             )
         return len(added)
 
     def forget(self, node: NodeId, reason: str) -> None:
-        """Drop a node."""
+        """Remove a node; has no effect on this node itself."""
         if node != self.me.node and self._drop(node):
             self._log.event("peer_dropped", peer=node, reason=reason)
 
-    def _known(self, nodes: Iterable[NodeId]) -> Iterator[PeerView]:
+    def _known_views(self, nodes: Iterable[NodeId]) -> Iterator[PeerView]:
         for node in nodes:
             view = self._by_node.get(node)
             if view is not None and not view.is_self:
--- a/src/hoisthook/mesh/peer_hop.py
+++ b/src/hoisthook/mesh/peer_hop.py
@@ -115,7 +115,9 @@
         connection = await self._open(view)
         if not isinstance(connection, Refused):
             view.connected()
-            self._directory.findings.note(view.peer.node, self._clock.now(), reached=True)
+            self._directory.reachability_reports.note(
+                view.peer.node, self._clock.now(), reached=True
+            )
             self._pool.keep(view.address, connection)
 
     async def run(
@@ -140,7 +142,7 @@
         if isinstance(outcome, CompleteAnswer):
             view.served()
         elif isinstance(outcome, Refused) and outcome.code is ResultCode.UNREACHABLE:
-            view.backend_server_away(outcome.retry_after, now)
+            view.backend_server_unavailable(outcome.retry_after, now)
         elif isinstance(outcome, Refused) and outcome.code in _CLOSING_CODES:
             view.close_until(now + outcome.retry_after)
         elif isinstance(outcome, Refused) and outcome.code is ResultCode.RETRY_BUDGET_SPENT:
@@ -172,7 +174,7 @@
             connection,
             call,
             (hop_header.HOP, header.encode()),
-            held_back=call.held_back or view.may_be_silent(now),
+            held_back=call.held_back or view.may_be_unresponsive(now),
         )
         sent = _Sent(view, call, connection, now)
         answered = await exchange.run(target_left=header.target_left, timeout=header.time_left)
@@ -195,7 +197,7 @@
         outcome = self._take(sent, answered)
         if not isinstance(answered, Lost):
             node = sent.view.peer.node
-            self._directory.findings.note(node, self._clock.now(), reached=True)
+            self._directory.reachability_reports.note(node, self._clock.now(), reached=True)
             self._log.decision("hop_heard", **self._told(sent))
         self._note(sent.view, outcome)
         return outcome
@@ -227,7 +229,9 @@
             return await self._pool.open(view.address, CONNECT_SECONDS)
         except UnreachableError as error:
             seconds = view.unreachable(self._clock.now())
-            self._directory.findings.note(view.peer.node, self._clock.now(), reached=False)
+            self._directory.reachability_reports.note(
+                view.peer.node, self._clock.now(), reached=False
+            )
             self._log.event(
                 "peer_unreachable", peer=view.peer.node, closed_for=seconds, reason=str(error)
             )
@@ -235,7 +239,7 @@
 
     def _note_unreachable(self, view: PeerView) -> None:
         view.unreachable(self._clock.now())
-        self._directory.findings.note(view.peer.node, self._clock.now(), reached=False)
+        self._directory.reachability_reports.note(view.peer.node, self._clock.now(), reached=False)
         # Other connections to it may be as dead, and each would cost a request as long.
         self._pool.forget(view.address)
 
@@ -268,7 +272,7 @@
         load = NodeLoad.decode(head.get(hop_header.LOAD) or b"")
         if load is not None:
             view.reported(load, self._clock.now())
-            self._sync.heard(view.address, load.configuration)
+            self._sync.note_peer_version(view.address, load.configuration)
             if load.owes_repeats:
                 self._local_backend.repeats.called_owes(call)
         result = head.get(hop_header.RESULT)
--- a/src/hoisthook/mesh/peer_message.py
+++ b/src/hoisthook/mesh/peer_message.py
@@ -1,4 +1,4 @@
-"""Messages of other nodes that may not be readable."""
+"""Decoding of messages from other nodes, with undecodable ones logged and rejected."""
 
 from __future__ import annotations
 
@@ -18,42 +18,42 @@
 
 Message = TypeVar("Message")
 
-MAX_LOGGED_REASON = 200
+MAX_LOGGED_REASON_CHARACTERS = 200
 BAD_REQUEST = 400
 
 
 async def read_message(
-    exchange: ServerExchange, decode: Callable[[bytes], Message], what: str, log: EventLog
+    exchange: ServerExchange, decode: Callable[[bytes], Message], message_name: str, log: EventLog
 ) -> Message | None:
-    """Return what another node sent; None if it cannot be read, which it is told.
+    """Return the message in a request of another node; None if it cannot be decoded.
 
     Parameters
     ----------
     exchange : ServerExchange
-        Answered or dropped if the message cannot be read.
+        Answered with status 400 if decoding fails, and aborted if the body does not arrive.
     decode : callable
-        Reads it; raises `msgspec.DecodeError` if it cannot.
-    what : str
-        Names the message in the log line.
+        Decodes the body; raises `msgspec.DecodeError` if that fails.
+    message_name : str
+        Names the message in the log event.
     log : EventLog
-        Gets a line for a message that cannot be read.
+        Receives an event for a message that cannot be read.
     """
     try:
         return decode(await exchange.body.read_all())
     except BrokenExchangeError as error:
-        log_unreadable(log, what, str(error))
+        log_unreadable(log, message_name, str(error))
         exchange.abort()
     except msgspec.DecodeError as error:
-        log_unreadable(log, what, str(error))
+        log_unreadable(log, message_name, str(error))
         exchange.respond(BAD_REQUEST, [])
     return None
 
 
-def log_unreadable(log: EventLog, what: str, reason: str) -> None:
-    """Write a line for a message that is passed over."""
+def log_unreadable(log: EventLog, message_name: str, reason: str) -> None:
+    """Log a message that is ignored because it cannot be decoded."""
     log.event(
         "peer_message_unreadable",
         code=ResultCode.PEER_MESSAGE_UNREADABLE.number,
-        message=what,
-        reason=reason[:MAX_LOGGED_REASON],
+        message=message_name,
+        reason=reason[:MAX_LOGGED_REASON_CHARACTERS],
     )
--- a/src/hoisthook/mesh/peer_sync.py
+++ b/src/hoisthook/mesh/peer_sync.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other directly: who is there, and the newest configuration."""
+"""Direct synchronisation between nodes: known nodes, configuration, evacuations and crashes."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from hoisthook.mesh.buffered_exchange import exchange_buffered
 from hoisthook.mesh.peer_message import log_unreadable
 from hoisthook.mesh.peer_message import read_message
-from hoisthook.mesh.sync_answers import SyncAnswers
-from hoisthook.mesh.sync_messages import SyncQuestion
 from hoisthook.mesh.sync_messages import SyncReply
+from hoisthook.mesh.sync_messages import SyncRequest
 from hoisthook.mesh.sync_messages import decode_message
 from hoisthook.mesh.sync_messages import encode_message
+from hoisthook.mesh.sync_responder import SyncResponder
 from hoisthook.node.call import Lost
 from hoisthook.traffic.configuration_holder import ConfigurationSource
 from hoisthook.traffic.configuration_parts import NO_VERSION
@@ -43,22 +43,23 @@
 SYNC_PATH = b"/hoisthook/peers"
 CONNECT_SECONDS = 0.2
 ANSWER_SECONDS = 0.5
-# Between two introductions, so that a new node does not open many connections at once.
-INTRODUCTION_GAP_SECONDS = 0.01
-# Readers that did not answer are told again after this time, a start or a pause being over then.
-INTRODUCTION_ROUNDS = 3
-INTRODUCTION_ROUND_SECONDS = 1.0
-# How often a peer is asked while the store does not answer.
-ASK_SECONDS = 0.4
-# A change reaches all nodes from the store within this; a node that is still behind asks the
+# Pause between two announcements, so that a new node does not open many connections at once.
+ANNOUNCE_GAP_SECONDS = 0.01
+# Readers that did not answer receive the announcement again after this time, by when a start or a
+# pause of theirs is over.
+ANNOUNCE_ROUNDS = 3
+ANNOUNCE_ROUND_SECONDS = 1.0
+# Interval at which a random peer is polled while the store is unavailable.
+POLL_SECONDS = 0.4
+# A change reaches all nodes from the store within this time; a node that is still behind polls the
 # peer that is ahead. It covers the pause of `ConfigurationWatch` after a change.
 STORE_LEAD_SECONDS = 0.6
-# How long a question is held at most, whatever its asker says.
+# Limit on the hold that a request may ask for.
 MAX_HOLD_SECONDS = 2.0
 
 
-class _Had(NamedTuple):
-    """What a node has had of another's news."""
+class _SyncPosition(NamedTuple):
+    """Revisions up to which the updates of another node have been received."""
 
     source: str = ""
     revision: int = 0
@@ -66,32 +67,39 @@
 
 
 class PeerSync:
-    """Asks other nodes, answers them, and goes on asking while the store is away.
+    """Polls other nodes and answers their polls; polls random peers while the store is unavailable.
 
     Parameters
     ----------
     directory : PeerDirectory
-        Whom it knows.
+        Known nodes; nodes learnt from peers are added.
     configuration : ConfigurationHolder
-        What it has.
+        Configuration in force.
     evacuations : Evacuations
-        Which data centres are evacuated.
+        Evacuated data centres.
     exchange : ConfigurationExchange
-        Tells what others lack of it, and takes in what they tell.
+        Computes configuration deltas for others, and applies theirs.
     crashes : CrashEvidence
-        Which work has ended backend servers.
+        Work that has crashed backend servers.
     era : StoreEra
-        The store's; told on.
+        The store's era as known here, sent with each message.
     lease : KeyLease
-        Renewed by what peers confirm.
+        Lease on teams' keys, renewed when a peer confirms the configuration.
     pool : ClientPool
         Connections to other nodes.
     clock : Clock
         Monotonic.
     randomness : Randomness
-        Chooses whom to ask.
+        Selects peers to poll and spreads polls over time.
     log : EventLog
-        Gets a line for what cannot be read.
+        Receives events for peers that do not answer and messages that cannot be decoded.
+
+    Attributes
+    ----------
+    store_away : bool
+        Whether the store does not answer this node; set by `ConfigurationWatch`.
+    peer_port : int
+        Port at which nodes reach each other, the same on all instances.
     """
 
     def __init__(
@@ -115,14 +123,14 @@
         self._crashes = crashes
         self._era = era
         self._lease = lease
-        self._tells_crashes = False
+        self._sends_crash_reports = False
         self._pool = pool
         self._randomness = randomness
         self._log = log
-        self._asking: asyncio.Task[None] | None = None
+        self._fetching: asyncio.Task[None] | None = None
         self._process = f"{randomness.getrandbits(64):016x}"
-        self._had_by_address: dict[Address, _Had] = {}
-        self._answers = SyncAnswers(
+        self._position_by_address: dict[Address, _SyncPosition] = {}
+        self._responder = SyncResponder(
             self._process,
             directory,
             configuration,
@@ -135,7 +143,8 @@
         )
         self._clock = clock
         self._changed = asyncio.Event()
-        # After the exchange has taken the change in, so that who waits is told of it.
+        # Registered after the exchange, which has then applied the change before held requests
+        # are answered.
         configuration.on_change(lambda _: self._wake())
         evacuations.on_change(self._wake)
         self._contact_listeners: list[Callable[[Address], None]] = []
@@ -143,69 +152,69 @@
         self.peer_port = 0
 
     def on_contact(self, listener: Callable[[Address], None]) -> None:
-        """Have ``listener`` called with the address of each node that is heard from."""
+        """Have ``listener`` called with the address of each node that a message arrives from."""
         self._contact_listeners.append(listener)
 
     async def run(self) -> None:
-        """Ask a random peer now and then for as long as the store is away."""
+        """Poll a random peer periodically while the store is unavailable."""
         while True:
-            await asyncio.sleep(ASK_SECONDS * (0.75 + 0.5 * self._randomness.random()))
+            await asyncio.sleep(POLL_SECONDS * (0.75 + 0.5 * self._randomness.random()))
             others = self._directory.others() if self.store_away else []
             if others:
                 view = others[self._randomness.randrange(len(others))]
                 self._log.event("peer_asked", peer=view.peer.node, have=self.version)
-                await self.ask(view.address, wants_news=view.same_data_centre)
+                await self.poll(view.address, wants_news=view.same_data_centre)
 
-    async def introduce(self, readers: list[PeerView]) -> None:
-        """Tell the readers of all data centres about this node; the others ask them.
+    async def announce_self(self, readers: list[PeerView]) -> None:
+        """Announce this node to the readers of all data centres, which the other nodes poll.
 
         Parameters
         ----------
         readers : list of PeerView
-            To be told.
+            Nodes to send the announcement to.
         """
-        left = readers
-        for _ in range(INTRODUCTION_ROUNDS):
-            silent = []
-            for view in left:
-                if await self.ask(view.address) is None:
-                    silent.append(view)
-                await asyncio.sleep(INTRODUCTION_GAP_SECONDS)
-            if not silent:
+        pending = readers
+        for _ in range(ANNOUNCE_ROUNDS):
+            unanswered = []
+            for view in pending:
+                if await self.poll(view.address) is None:
+                    unanswered.append(view)
+                await asyncio.sleep(ANNOUNCE_GAP_SECONDS)
+            if not unanswered:
                 return
-            left = silent
-            await asyncio.sleep(INTRODUCTION_ROUND_SECONDS)
+            pending = unanswered
+            await asyncio.sleep(ANNOUNCE_ROUND_SECONDS)
 
     @property
     def version(self) -> int:
         """Return the version of the configuration in force here; -1 before the first."""
         return self._configuration.version
 
-    def heard(self, address: Address, configuration: int) -> None:
-        """Note which configuration a peer has; fetch it if the store does not bring it soon."""
+    def note_peer_version(self, address: Address, configuration: int) -> None:
+        """Record a peer's configuration version; fetch it unless the store delivers it soon."""
         if configuration <= self.version:
             return
-        if self._asking is None or self._asking.done():
+        if self._fetching is None or self._fetching.done():
             loop = asyncio.get_running_loop()
-            self._asking = loop.create_task(self._fetch(address, configuration))
+            self._fetching = loop.create_task(self._fetch(address, configuration))
 
     async def _fetch(self, address: Address, configuration: int) -> None:
         if not self.store_away and self.version >= 0:
             await asyncio.sleep(STORE_LEAD_SECONDS)
         if configuration > self.version:
             self._log.event("configuration_behind", have=self.version, peer_has=configuration)
-            await self.ask(address)
+            await self.poll(address)
 
-    async def tell_all(self) -> None:
-        """Tell the nodes of this data centre of all nodes unasked."""
-        near = [view for view in self._directory.others() if view.same_data_centre]
-        for view in near:
-            question = self._question(view.address, wants_news=False)
+    async def broadcast_peers(self) -> None:
+        """Send the list of all nodes to the nodes of this data centre without being polled."""
+        local_peers = [view for view in self._directory.others() if view.same_data_centre]
+        for view in local_peers:
+            request = self._request(view.address, wants_news=False)
             peers = self._directory.peers()
-            await self._send(view.address, msgspec.structs.replace(question, peers=peers))
-            await asyncio.sleep(INTRODUCTION_GAP_SECONDS)
+            await self._send(view.address, msgspec.structs.replace(request, peers=peers))
+            await asyncio.sleep(ANNOUNCE_GAP_SECONDS)
 
-    async def ask(
+    async def poll(
         self,
         address: Address,
         *,
@@ -213,35 +222,35 @@
         hold: float = 0.0,
         connected: asyncio.Event | None = None,
     ) -> SyncReply | None:
-        """Ask one peer and take in its answer; None if there is none.
+        """Poll one peer and apply its reply; return None if there is none.
 
         Parameters
         ----------
         address : Address
-            The peer's.
+            The peer's address.
         wants_news : bool
-            Whether to ask which nodes there are; a node that knows nobody always does.
+            Whether to ask for changes to the known nodes; a node that knows no other always does.
         hold : float
-            For how many seconds the peer may wait for a change before it answers.
+            Seconds for which the peer may wait for a change before it answers.
         connected : asyncio.Event, optional
-            Set once the peer has taken the connection.
+            Set once the peer has accepted the connection.
         """
-        question = self._question(address, wants_news=wants_news)
+        request = self._request(address, wants_news=wants_news)
         if hold > 0:
-            question = msgspec.structs.replace(question, hold=hold)
-        return await self._send(address, question, connected)
+            request = msgspec.structs.replace(request, hold=hold)
+        return await self._send(address, request, connected)
 
-    async def tell_crashes(self, address: Address) -> bool:
-        """Tell a peer what is known of crashes; return whether it has taken it in."""
-        question = self._question(address, wants_news=False)
+    async def send_crash_reports(self, address: Address) -> bool:
+        """Send all known crash reports of the service; return whether the peer acknowledged."""
+        request = self._request(address, wants_news=False)
         reports = self._crashes.reports(self._directory.me.service, self._clock.now())
-        told = msgspec.structs.replace(question, crashes=reports)
-        return await self._send(address, told) is not None
+        request_with_reports = msgspec.structs.replace(request, crashes=reports)
+        return await self._send(address, request_with_reports) is not None
 
     async def _send(
-        self, address: Address, question: SyncQuestion, connected: asyncio.Event | None = None
+        self, address: Address, request: SyncRequest, connected: asyncio.Event | None = None
     ) -> SyncReply | None:
-        asked_at = self._clock.now()
+        sent_at = self._clock.now()
         try:
             connection = await self._pool.acquire(address, CONNECT_SECONDS)
         except UnreachableError as error:
@@ -249,76 +258,78 @@
             return None
         if connected is not None:
             connected.set()
-        answered = await exchange_buffered(
+        exchange_result = await exchange_buffered(
             connection,
             b"POST",
             SYNC_PATH,
             [(b"host", address[0].encode())],
-            encode_message(question),
-            timeout=question.hold + ANSWER_SECONDS,
+            encode_message(request),
+            timeout=request.hold + ANSWER_SECONDS,
             piece_timeout=ANSWER_SECONDS,
         )
-        if isinstance(answered, Lost):
-            self._log.event("peer_silent", address=address[0], reason=answered.code.name)
+        if isinstance(exchange_result, Lost):
+            self._log.event("peer_silent", address=address[0], reason=exchange_result.code.name)
             return None
         self._pool.keep(address, connection)
-        reply = self._read(answered[1])
+        reply = self._decode_reply(exchange_result[1])
         if reply is not None:
             self._contacted(address)
-            await self._take(reply, address, question)
-            self._confirm(reply, asked_at)
-        if reply is not None and question.wants_news:
-            had = _Had(reply.source, reply.revision, reply.suspicions)
-            self._had_by_address[address] = had
+            await self._apply_reply(reply, address, request)
+            self._confirm(reply, sent_at)
+        if reply is not None and request.wants_news:
+            position = _SyncPosition(reply.source, reply.revision, reply.suspicions)
+            self._position_by_address[address] = position
         return reply
 
     def _contacted(self, address: Address) -> None:
         for listener in self._contact_listeners:
             listener(address)
 
-    def _question(self, address: Address, *, wants_news: bool) -> SyncQuestion:
+    def _request(self, address: Address, *, wants_news: bool) -> SyncRequest:
         directory = self._directory
-        had = self._had_by_address.get(address, _Had())
-        # Only who asks for news is asking a reader, which collects findings.
-        findings = directory.findings.tell(self._clock.now()) if wants_news else []
-        return SyncQuestion(
+        position = self._position_by_address.get(address, _SyncPosition())
+        # Only polls that ask for changed nodes go to readers, which collect these reports.
+        reachability_reports = (
+            directory.reachability_reports.tell(self._clock.now()) if wants_news else []
+        )
+        return SyncRequest(
             directory.me,
             self.version,
             wants_news=wants_news or len(directory) == 1,
             process=self._process,
-            source=had.source,
-            revision=had.revision,
+            source=position.source,
+            revision=position.revision,
             digest=directory.digest,
-            suspicions=had.suspicions,
-            findings=findings,
+            suspicions=position.suspicions,
+            findings=reachability_reports,
             evacuations=self._evacuations.revision,
             crash_digest=self._crashes.digest(directory.me.service),
-            crashes=self._crashes_to_tell() if wants_news else [],
+            crashes=self._crash_reports_to_send() if wants_news else [],
             era=self._era.current,
         )
 
-    def _crashes_to_tell(self) -> list[CrashReport]:
-        """Return what is known of crashes where the last one asked did not know the same."""
-        if not self._tells_crashes:
+    def _crash_reports_to_send(self) -> list[CrashReport]:
+        """Return the known crash reports if the peer polled last did not hold the same."""
+        if not self._sends_crash_reports:
             return []
         return self._crashes.reports(self._directory.me.service, self._clock.now())
 
     async def answer(self, exchange: ServerExchange) -> None:
-        """Answer a peer's question."""
-        question = await read_message(
-            exchange, lambda data: decode_message(data, SyncQuestion), "question", self._log
+        """Answer a peer's request."""
+        request = await read_message(
+            exchange, lambda data: decode_message(data, SyncRequest), "question", self._log
         )
-        if question is None:
+        if request is None:
             return
-        self._directory.merge([question.sender, *question.peers], "peer")
+        self._directory.merge([request.sender, *request.peers], "peer")
         self._contacted((exchange.peer[0], self.peer_port))
-        if question.peers:
+        if request.peers:
             self._directory.is_complete = True
-            self._directory.told.set()
-        self._answers.take(question)
-        if question.hold > 0 and not self._answers.has_changes_for(question):
-            await self._wait_for_change(min(question.hold, MAX_HOLD_SECONDS))
-        reply = self._answers.reply_to(question, store_away=self.store_away)
+            self._directory.full_list_received.set()
+        self._responder.apply_request(request)
+        if request.hold > 0 and not self._responder.has_changes_for(request):
+            await self._wait_for_change(min(request.hold, MAX_HOLD_SECONDS))
+        reply = self._responder.reply_to(request, store_away=self.store_away)
         exchange.respond(200, [], encode_message(reply))
 
     async def _wait_for_change(self, seconds: float) -> None:
@@ -332,31 +343,31 @@
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def _read(self, data: bytes) -> SyncReply | None:
+    def _decode_reply(self, data: bytes) -> SyncReply | None:
         try:
             return decode_message(data, SyncReply)
         except msgspec.DecodeError as error:
             log_unreadable(self._log, "reply", str(error))
             return None
 
-    async def _take(self, reply: SyncReply, address: Address, question: SyncQuestion) -> None:
+    async def _apply_reply(self, reply: SyncReply, address: Address, request: SyncRequest) -> None:
         self._directory.merge(reply.peers, "peer")
         self._era.heard(reply.era)
         now = self._clock.now()
-        self._answers.take_suspicions(reply)
+        self._responder.apply_suspicions(reply)
         self._crashes.merge(reply.crashes, now)
-        known = self._crashes.digest(self._directory.me.service)
-        self._tells_crashes = known not in (0, reply.crash_digest)
+        own_digest = self._crashes.digest(self._directory.me.service)
+        self._sends_crash_reports = own_digest not in (0, reply.crash_digest)
         self._evacuations.offer(reply.evacuations, reply.evacuated, ConfigurationSource.PEER)
         if reply.configuration is not None and not self._exchange.take(reply.configuration):
-            if question.configuration == NO_VERSION:
+            if request.configuration == NO_VERSION:
                 return
-            # The difference does not fit what is known here.
-            whole = msgspec.structs.replace(question, configuration=NO_VERSION, hold=0.0)
-            await self._send(address, whole)
+            # The delta does not apply to the configuration held here: request all of it.
+            full_request = msgspec.structs.replace(request, configuration=NO_VERSION, hold=0.0)
+            await self._send(address, full_request)
 
-    def _confirm(self, reply: SyncReply, asked_at: float) -> None:
-        """Renew the lease on keys where all that the peer knows is in force here."""
+    def _confirm(self, reply: SyncReply, sent_at: float) -> None:
+        """Renew the lease on keys if the peer's configuration is in force here."""
         delta = reply.configuration
         if reply.confirmed is not None and (delta is None or delta.version <= self.version):
-            self._lease.confirmed(asked_at - reply.confirmed)
+            self._lease.confirmed(sent_at - reply.confirmed)
--- a/src/hoisthook/mesh/quota_exchange.py
+++ b/src/hoisthook/mesh/quota_exchange.py
@@ -1,4 +1,4 @@
-"""Carries questions about quotas between nodes."""
+"""Transport of quota requests between nodes."""
 
 from __future__ import annotations
 
@@ -31,7 +31,8 @@
     from hoisthook.teams.quota_verdict import Token
     from hoisthook.teams.team import Quota
 
-# A request waits for the answer; another node is asked in place of one that takes longer.
+# Timeouts are short because a caller's request waits for the answer; after a timeout another node
+# is asked.
 CONNECT_SECONDS = 0.1
 ANSWER_SECONDS = 0.15
 _QUESTION = msgspec.msgpack.Decoder(QuotaQuestion)
@@ -39,20 +40,20 @@
 
 
 class QuotaExchange:
-    """A `hoisthook.teams.quota_coordinator.QuotaTransport`, and the desk that it serves.
+    """A `hoisthook.teams.quota_coordinator.QuotaTransport` and the coordinator that uses it.
 
     Parameters
     ----------
     bounds : QuotaBounds
-        What may be admitted.
+        Bounds on the requests that are admitted.
     directory : PeerDirectory
-        Who is there.
+        Known nodes.
     pool : ClientPool
         Connections to other nodes.
     clock : Clock
         Monotonic.
     log : EventLog
-        Gets a line for what cannot be read.
+        Receives events for nodes that do not answer and messages that cannot be decoded.
     """
 
     def __init__(
@@ -66,48 +67,50 @@
         self._directory = directory
         self._pool = pool
         self._log = log
-        self._near: frozenset[Address] = frozenset()
-        self._known_digest: int | None = None
+        self._local_addresses: frozenset[Address] = frozenset()
+        self._applied_digest: int | None = None
         self.quota_coordinator = QuotaCoordinator(
             bounds, directory.me.data_centre, self, clock, log
         )
 
     def refresh(self) -> None:
-        """Take in who is there, if that has changed."""
+        """Pass the known nodes to the coordinator if they have changed."""
         directory = self._directory
-        if self._known_digest == directory.digest:
+        if self._applied_digest == directory.digest:
             return
-        self._known_digest = directory.digest
-        self._near = frozenset(v.address for v in directory.others() if v.same_data_centre)
+        self._applied_digest = directory.digest
+        self._local_addresses = frozenset(
+            v.address for v in directory.others() if v.same_data_centre
+        )
         self.quota_coordinator.knows(QuotaOwners(directory.views()))
 
     def close(self) -> None:
-        """Stop what is under way."""
+        """Cancel quota requests in progress."""
         self.quota_coordinator.close()
 
     async def admit(self, team: TeamName, quota: Quota, rank: int) -> Token | OverQuota:
-        """Return what admits a request of a team, or why it is not admitted."""
+        """Return a token for a request of a team, or the reason for its rejection."""
         self.refresh()
         return await self.quota_coordinator.admit(team, quota, rank)
 
     def not_run(self, team: TeamName, quota: Quota, token: Token) -> None:
-        """Take in that a request that was admitted has not run."""
+        """Return the token of an admitted request that was not executed."""
         self.quota_coordinator.not_run(team, quota, token)
 
     def contacted(self, address: Address) -> None:
-        """Note that another node was heard from."""
+        """Record that a message from another node arrived."""
         self.refresh()
-        if address in self._near:
+        if address in self._local_addresses:
             self.quota_coordinator.heard()
 
     async def ask(self, quota_peer: QuotaPeer, question: QuotaQuestion) -> QuotaAnswer | None:
-        """Return a node's answer, or None if it gave none."""
+        """Send a quota request; return the answer, or None if there is none."""
         try:
             connection = await self._pool.acquire(quota_peer.address, CONNECT_SECONDS)
         except UnreachableError as error:
             self._log.event("quota_silent", peer=quota_peer.peer.node, reason=str(error))
             return None
-        answered = await exchange_buffered(
+        exchange_result = await exchange_buffered(
             connection,
             b"POST",
             QUOTA_PATH,
@@ -115,22 +118,24 @@
             msgspec.msgpack.encode(question),
             timeout=ANSWER_SECONDS,
         )
-        if isinstance(answered, Lost):
-            self._log.event("quota_silent", peer=quota_peer.peer.node, reason=answered.code.name)
+        if isinstance(exchange_result, Lost):
+            self._log.event(
+                "quota_silent", peer=quota_peer.peer.node, reason=exchange_result.code.name
+            )
             return None
         self._pool.keep(quota_peer.address, connection)
-        return self._read(answered[1])
+        return self._decode_answer(exchange_result[1])
 
     async def serve(self, exchange: ServerExchange) -> None:
-        """Answer another node's question."""
-        asked = await read_message(exchange, _QUESTION.decode, "quota question", self._log)
-        if asked is None:
+        """Answer another node's quota request."""
+        message = await read_message(exchange, _QUESTION.decode, "quota question", self._log)
+        if message is None:
             return
         self.refresh()
-        answer = await self.quota_coordinator.answer(asked)
+        answer = await self.quota_coordinator.answer(message)
         exchange.respond(200, [], msgspec.msgpack.encode(answer))
 
-    def _read(self, data: bytes) -> QuotaAnswer | None:
+    def _decode_answer(self, data: bytes) -> QuotaAnswer | None:
         try:
             return _ANSWER.decode(data)
         except msgspec.DecodeError as error:
--- a/src/hoisthook/mesh/reader_exchange.py
+++ b/src/hoisthook/mesh/reader_exchange.py
@@ -1,4 +1,4 @@
-"""Readers of a data centre tell each other what they have heard."""
+"""Periodic polls among the readers of a data centre."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
     from hoisthook.mesh.store_readers import StoreReaders
     from hoisthook.port.clock import Randomness
 
-# As often as the other nodes ask a reader, so that what one reader has heard is known to all
-# nodes of the data centre after two questions.
+# Equal to the polling interval of the other nodes, so that a change that one reader has received
+# reaches all nodes of the data centre within two polls.
 EXCHANGE_SECONDS = 0.6
 
 
 class ReaderExchange:
-    """Asks another reader of the data centre now and then, while this node is one.
+    """Polls another reader of the data centre periodically, while this node is a reader.
 
-    Without it a suspicion needs two nodes that happen to ask the same reader, and in a data
-    centre of four nodes with two readers the readers' own findings never meet.
+    Without it, a suspicion needs two nodes that happen to poll the same reader, and in a data
+    centre of four nodes with two readers, the readers' own reachability reports are never combined.
 
     Parameters
     ----------
     readers : StoreReaders
-        Tells who they are.
+        Selects the readers.
     sync : PeerSync
-        Asks.
+        Sends the polls.
     randomness : Randomness
-        Chooses among them.
+        Selects the reader to poll and spreads the polls over time.
     """
 
     def __init__(self, readers: StoreReaders, sync: PeerSync, randomness: Randomness) -> None:
@@ -37,10 +37,10 @@
         self._randomness = randomness
 
     async def run(self) -> None:
-        """Ask until cancelled."""
+        """Poll until cancelled."""
         while True:
             await asyncio.sleep(EXCHANGE_SECONDS * (0.75 + 0.5 * self._randomness.random()))
-            others = self._readers.others_of_mine()
+            others = self._readers.other_local_readers()
             if others:
                 view = others[self._randomness.randrange(len(others))]
-                await self._sync.ask(view.address, wants_news=True)
+                await self._sync.poll(view.address, wants_news=True)
--- a/src/hoisthook/mesh/registration.py
+++ b/src/hoisthook/mesh/registration.py
@@ -1,4 +1,4 @@
-"""Nodes' records in the platform's store: this node's own and those of the others."""
+"""Registration of nodes in the platform's store: this node's record and those of the others."""
 
 from __future__ import annotations
 
@@ -29,25 +29,29 @@
     from hoisthook.port.record_store import RecordPage
     from hoisthook.port.record_store import RecordStore
 
-# When all nodes start at once, each reads after the others have registered: they start within
-# 0.3 s of each other, and a start takes up to a second on a slow core.
+# When all nodes start together, the list is read this long after the node's own registration, by
+# when the others have registered: they start within 0.3 s of each other, and a start takes up to a
+# second on a slow core.
 EARLY_READ_SECONDS = 1.6
-# A node that registers later than this in a common start introduces itself like a new one.
-LATE_SECONDS = 1.2
-# In a common start one of so many reads the list and tells its data centre; the others wait to
-# be told. With 195 nodes in five data centres 13 read, and a data centre has none of them once in
-# 18 starts, in which its nodes read themselves.
+# A node that takes longer than this to register in a common start announces itself like a new node.
+LATE_START_SECONDS = 1.2
+# In a common start, one in this many nodes reads the list and sends it to its data centre; the
+# others wait for it. Of 195 nodes in five data centres 13 read the list. Once in 18 starts a data
+# centre has no such node, and its nodes read the list themselves.
 NODES_PER_EARLY_READER = 16
-# A store that comes back from an older copy lacks what was written in its last seconds: so long
-# ago a node must have registered to be sure that the copy holds it.
+# A store that has regressed to an older copy lacks the writes of the last seconds before. Only a
+# registration of at least this age is certain to be in the copy.
 COPY_AGE_SECONDS = 60.0
-# Nodes that register again do it spread over this time, each so many a second at most.
-AGAIN_SECONDS = 2.0
-AGAIN_PER_SECOND = 200.0
-# How long they wait beyond the time at which it is read, which covers the telling of 39 nodes.
-TOLD_SECONDS = 2.5
-# Readers read the list again in turn: one read in this time over all of them together, and none
-# oftener than the least. Introductions bring what is new; these reads mend what they miss.
+# Repeated registrations are spread over at least this time, and over more if there are so many
+# nodes that they would exceed the rate.
+REREGISTRATION_SECONDS = 2.0
+REREGISTRATIONS_PER_SECOND = 200.0
+# Time that a node in a common start waits for the list beyond EARLY_READ_SECONDS, which is enough
+# for a reader to send it to 39 nodes.
+PEER_LIST_TIMEOUT_SECONDS = 2.5
+# Readers read the list again periodically: on average one read per interval over all readers
+# together, but each reader at most once per MIN_READ_SECONDS. New nodes become known by their
+# announcements; these reads find the nodes whose announcement was missed.
 READ_SECONDS_PER_READER = 5.0
 MIN_READ_SECONDS = 15.0
 FIRST_BACKOFF_SECONDS = 0.2
@@ -55,36 +59,37 @@
 
 
 class Registration:
-    """Registers this node once and reads who else is registered.
+    """Registers this node once and reads the registrations of the others.
 
-    A node that is found as it registered before writes nothing. The readers of all data
-    centres learn of a new node from itself, see `hoisthook.mesh.peer_sync.PeerSync.introduce`,
-    and the other nodes from them; the reads in turn, by readers alone, mend what that misses.
+    A node whose record is already in the store writes nothing. A new node announces itself to the
+    readers of all data centres, see `hoisthook.mesh.peer_sync.PeerSync.announce_self`, and the
+    other nodes learn of it by polling these. Readers also read the list again periodically, which
+    finds nodes whose announcement was missed.
 
     Parameters
     ----------
     topic : str
-        Where the nodes' records are; the newest of each key is kept there.
+        Topic of the nodes' records, which retains the newest record of each key.
     directory : PeerDirectory
-        Gets the records.
+        Receives the registered nodes.
     store : RecordStore
-        The platform's.
+        The platform's store.
     sync : PeerSync
-        Introduces a node that is new.
+        Announces a new node.
     readers : StoreReaders
-        Who is told of it, and who reads again in turn.
+        Selects the nodes that receive the announcement and that read the list again.
     crash_records : CrashRecords
-        Gets the records that are no nodes.
+        Receives the records of the topic that are not registrations.
     era : StoreEra
-        Tells when the store has come back from an older copy.
+        Reports when the store has regressed to an older copy.
     clock : Clock
         Monotonic.
     randomness : Randomness
-        Spreads the reads of many nodes.
+        Spreads the calls of many nodes over time.
     log : EventLog
-        Gets a line for each record that cannot be read.
+        Receives events for registrations, delays and records that cannot be decoded.
     first_start : bool
-        Whether all nodes start at this moment, so that none need be told.
+        Whether all nodes start together for the first time, so that none announces itself.
     """
 
     def __init__(
@@ -112,62 +117,62 @@
         self._randomness = randomness
         self._log = log
         self._first_start = first_start
-        self._number = 0
+        self._record_offset = 0
         self._registered_at = -math.inf
-        self._again = BackgroundTasks()
+        self._reregistration = BackgroundTasks()
         era.on_change(self._store_regressed)
         self._backoff = FIRST_BACKOFF_SECONDS
 
     async def run(self) -> None:
-        """Register, then read until cancelled."""
+        """Register, then read the list periodically until cancelled."""
         if self._first_start:
             await self._register_with_all()
         else:
-            await self._until_done(self._register)
+            await self._retry_until_done(self._register)
         while True:
-            all_readers = len(self._readers.everywhere())
+            all_readers = len(self._readers.readers_of_all_data_centres())
             seconds = max(MIN_READ_SECONDS, READ_SECONDS_PER_READER * all_readers)
             await asyncio.sleep(seconds * (0.75 + 0.5 * self._randomness.random()))
-            if not self._readers.to_ask():
-                await self._until_done(self._read)
+            if not self._readers.poll_targets():
+                await self._retry_until_done(self._read)
 
     def close(self) -> None:
-        """Stop registering again."""
-        self._again.close()
+        """Cancel a repeated registration in progress."""
+        self._reregistration.close()
 
     def _store_regressed(self) -> None:
         if self._clock.now() - self._registered_at < COPY_AGE_SECONDS:
-            self._again.start(self._register_again())
+            self._reregistration.start(self._register_again())
 
     async def _register_again(self) -> None:
-        """Write the record that the store may have lost, not with all other nodes at once."""
-        seconds = max(AGAIN_SECONDS, len(self._directory) / AGAIN_PER_SECOND)
+        """Write the record that the store may have lost, at a random time to spread the load."""
+        seconds = max(REREGISTRATION_SECONDS, len(self._directory) / REREGISTRATIONS_PER_SECOND)
         await asyncio.sleep(seconds * self._randomness.random())
-        await self._until_done(self._put)
+        await self._retry_until_done(self._put)
 
     async def _register_with_all(self) -> None:
-        """Register where nobody is registered yet, then learn who else has."""
-        begun = self._clock.now()
-        await self._until_done(self._put)
-        is_late = self._clock.now() - begun > LATE_SECONDS
-        if not is_late and self._number % NODES_PER_EARLY_READER == 0:
+        """Register in a common start of all nodes, then get the list of the others."""
+        started_at = self._clock.now()
+        await self._retry_until_done(self._put)
+        is_late = self._clock.now() - started_at > LATE_START_SECONDS
+        if not is_late and self._record_offset % NODES_PER_EARLY_READER == 0:
             await asyncio.sleep(EARLY_READ_SECONDS)
-            await self._until_done(self._read)
-            await self._sync.tell_all()
-        elif is_late or not await self._is_told():
-            await self._until_done(self._read)
-            await self._sync.introduce(self._readers.everywhere())
-
-    async def _is_told(self) -> bool:
-        """Wait to be told of all nodes; return whether this one was."""
+            await self._retry_until_done(self._read)
+            await self._sync.broadcast_peers()
+        elif is_late or not await self._receives_peer_list():
+            await self._retry_until_done(self._read)
+            await self._sync.announce_self(self._readers.readers_of_all_data_centres())
+
+    async def _receives_peer_list(self) -> bool:
+        """Wait for another node to send the list of all nodes; return whether it arrived."""
         try:
-            async with asyncio.timeout(EARLY_READ_SECONDS + TOLD_SECONDS):
-                await self._directory.told.wait()
+            async with asyncio.timeout(EARLY_READ_SECONDS + PEER_LIST_TIMEOUT_SECONDS):
+                await self._directory.full_list_received.wait()
         except TimeoutError:
             return False
         return True
 
-    async def _until_done(self, step: Callable[[], Awaitable[object]]) -> None:
+    async def _retry_until_done(self, step: Callable[[], Awaitable[object]]) -> None:
         while True:
             try:
                 await step()
@@ -185,12 +190,12 @@
         if registered.get(me.node) == me:
             return
         await self._put()
-        await self._sync.introduce(self._readers.everywhere())
+        await self._sync.announce_self(self._readers.readers_of_all_data_centres())
 
     async def _put(self) -> None:
         me = self._directory.me
         record = KeyedRecord(me.node, msgspec.json.encode(me))
-        self._number = await self._store.put(self._topic, record)
+        self._record_offset = await self._store.put(self._topic, record)
         self._registered_at = self._clock.now()
         self._log.event("registered", known=len(self._directory) - 1)
 
@@ -199,12 +204,12 @@
         peers = list(self._peers(page))
         self._directory.merge(peers, "store")
         self._directory.is_complete = True
-        self._directory.listed.set()
+        self._directory.peers_known.set()
         return peers
 
     def _peers(self, page: RecordPage) -> Iterator[Peer]:
         for record in page.records:
-            if self._crash_records.take(record):
+            if self._crash_records.apply(record):
                 continue
             try:
                 yield msgspec.json.decode(record.value, type=Peer)
--- a/src/hoisthook/mesh/sync_messages.py
+++ b/src/hoisthook/mesh/sync_messages.py
@@ -1,4 +1,4 @@
-"""What one node asks another, and the answer."""
+"""Request and reply of the synchronisation between nodes, and their encoding."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 
 Message = TypeVar("Message", bound=msgspec.Struct)
 
-# Below this compression saves nothing.
-COMPRESSED_FROM_BYTES = 400
-# Enough for configurations of 20,000 routes; what claims to be larger is no message of a node.
+# Smaller messages gain nothing from compression.
+MIN_COMPRESSED_BYTES = 400
+# Enough for configurations of 20,000 routes; anything larger is rejected as malformed.
 MAX_MESSAGE_BYTES = 16 * 1024 * 1024
 PLAIN = b"p"
 COMPRESSED = b"z"
-FAST = 1
+COMPRESSION_LEVEL = 1
 
 
 def encode_message(message: msgspec.Struct) -> bytes:
-    """Return a message's bytes.
+    """Return the encoded message, compressed unless it is small.
 
-    Compressed where that is shorter: 1,753 routes are 50 KB for 504 KB (both encoded), which a link
-    of 5 Mbit/s carries in 0.08 s for 0.8 s.
+    Compression reduces a configuration of 1,753 routes from 504 KB to 50 KB, which takes 0.08 s
+    instead of 0.8 s on a link of 5 Mbit/s.
     """
     data = msgspec.msgpack.encode(message)
-    if len(data) < COMPRESSED_FROM_BYTES:
+    if len(data) < MIN_COMPRESSED_BYTES:
         return PLAIN + data
-    return COMPRESSED + zlib.compress(data, FAST)
+    return COMPRESSED + zlib.compress(data, COMPRESSION_LEVEL)
 
 
 def decode_message(data: bytes, kind: type[Message]) -> Message:
@@ -43,13 +43,13 @@
     Raises
     ------
     msgspec.DecodeError
-        If the bytes are no message of that kind, or are too many.
+        If the bytes are not a message of that kind, are truncated, or are too large.
     """
     content = data[1:]
     if data[:1] == COMPRESSED:
         content = _decompressed(content)
     elif data[:1] != PLAIN:
-        raise msgspec.DecodeError("no message of a node")
+        raise msgspec.DecodeError("peer message has an unknown format byte")
     return msgspec.msgpack.decode(content, type=kind)
 
 
@@ -60,45 +60,45 @@
     except zlib.error as error:
         raise msgspec.DecodeError(str(error)) from error
     if not reader.eof:
-        raise msgspec.DecodeError("message cut short or too large")
+        raise msgspec.DecodeError("compressed peer message is truncated or exceeds 16 MiB")
     return content
 
 
-class SyncQuestion(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What a node asks of another.
+class SyncRequest(msgspec.Struct, frozen=True, omit_defaults=True):
+    """A poll of one node by another.
 
     Attributes
     ----------
     sender : Peer
-        Who asks; the other takes it in.
+        The requester, which the receiver adds to its directory.
     configuration : int
-        The version it has; -1 for none.
+        Version of the requester's configuration; -1 for none.
     wants_news : bool
-        Whether it asks which nodes there are.
+        Whether it asks for changes to the known nodes and to suspicions.
     process : str
-        Names the process that asks.
+        Identifies the requesting process.
     source : str
-        Names the process whose news it has had up to ``revision``; empty for none.
+        Identifies the process whose changes it has received up to ``revision``; empty for none.
     revision : int
-        Of the directory of ``source``.
+        Last received revision of the directory of ``source``.
     digest : int
-        Of its own directory.
+        Digest of its own directory.
     suspicions : int
-        Revision up to which it has had the suspicions of ``source``.
+        Last received revision of the suspicions of ``source``.
     findings : list of ReachabilityReport
-        Which nodes it could not reach lately, and which suspected ones it could.
+        Nodes that it could not reach recently, and suspected ones that it could.
     peers : list of Peer
-        All nodes, where the asker tells them unasked; else empty.
+        All nodes, if the requester sends the list unasked; else empty.
     evacuations : int
         Revision of the evacuations that it knows; -1 for none.
     hold : float
-        For how many seconds the answer may wait for something that operators change.
+        Seconds for which the reply may wait for a change by operators.
     crash_digest : int
-        Of what it knows of work that ended backend servers of its service; 0 for nothing.
+        Digest of the crash reports that it holds for its service; 0 for none.
     crashes : list of CrashReport
-        All that, where the other may lack some of it.
+        All these reports, if the receiver may lack some of them.
     era : int or None
-        The store's, as far as it has heard.
+        Newest era of the store that it knows of.
     """
 
     sender: Peer
@@ -119,37 +119,38 @@
 
 
 class SyncReply(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The answer.
+    """The reply to a `SyncRequest`.
 
     Attributes
     ----------
     peers : list of Peer
-        Nodes that the asker may not know: what came after the revision it has had from here,
-        else all, unless its directory is the same.
+        Nodes that the requester may not know: those added after the revision that it has received
+        from this process, or all if it has received none; empty if its directory is the same.
     source : str
-        Names the process that replies.
+        Identifies the replying process.
     revision : int
-        Of its directory.
+        Revision of its directory.
     configuration : ConfigurationDelta or None
-        What the asker's configuration lacks.
+        Delta from the requester's configuration to the one in force; None if there is none.
     store_away : bool
-        Whether the store does not answer the node that replies.
+        Whether the store does not answer the replying node.
     suspicions : int
         Revision of its suspicions.
     suspected, cleared : list of NodeId
-        Nodes that several could not reach, and that one of them has reached since.
+        Nodes that several nodes could not reach, and those reached again since.
     evacuations : int
-        Revision of ``evacuated``; -1 where the asker knows as much.
+        Revision of ``evacuated``; -1 if the requester has it or a newer one.
     evacuated : list of DataCentre
         Data centres that operators have evacuated.
     crash_digest : int
-        Of what it knows of work that ended backend servers of the asker's service.
+        Digest of the crash reports that it holds for the requester's service.
     crashes : list of CrashReport
-        All that, unless the asker knows the same.
+        All these reports, unless the requester holds the same.
     confirmed : float or None
-        Seconds since its configuration was known to be the newest, where that matters.
+        Seconds since its configuration was known to be the newest; None if keys have no
+        lease or it was never confirmed.
     era : int or None
-        The store's, as far as it has heard.
+        Newest era of the store that it knows of.
     """
 
     peers: list[Peer] = []
--- a/src/hoisthook/mesh/team_quotas.py
+++ b/src/hoisthook/mesh/team_quotas.py
@@ -1,4 +1,4 @@
-"""Teams' quotas at one node, from the first configuration that has any."""
+"""Teams' quotas at one node, loaded with the first configuration that defines any."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 
 
 class TeamQuotas:
-    """Admits teams' requests within their quotas; loads what that needs when it is needed.
+    """Admits teams' requests within their quotas; imports the implementation on first use.
 
-    A node serves nobody until it is loaded, and most deployments have no quotas.
+    Imports delay the start of a node, and most deployments have no quotas.
 
     Parameters
     ----------
     settings : MeshTeamSettings
-        The window and its slack.
+        Quota window and the tolerated excess.
     directory : PeerDirectory
-        Who is there.
+        Known nodes.
     pool : ClientPool
         Connections to other nodes.
     clock : Clock
         Monotonic.
     log : EventLog
-        Gets what the decisions write.
+        Receives the events of quota decisions.
     """
 
     def __init__(
@@ -52,40 +52,40 @@
         self._pool = pool
         self._clock = clock
         self._log = log
-        self._started: QuotaExchange | None = None
+        self._loaded_exchange: QuotaExchange | None = None
 
     async def admit(self, team: Team, rank: int) -> Token | OverQuota | None:
-        """Return what admits a request, or why it is not admitted; None where any is."""
+        """Return a token, or the reason for a rejection; None if the team has no quota."""
         if team.quota is None:
             return None
-        return await self._exchange().admit(team.name, team.quota, rank)
+        return await self._load_exchange().admit(team.name, team.quota, rank)
 
     def not_run(self, team: Team, token: Token) -> None:
-        """Take in that a request that was admitted has not run."""
+        """Return the token of an admitted request that was not executed."""
         if team.quota is not None:
-            self._exchange().not_run(team.name, team.quota, token)
+            self._load_exchange().not_run(team.name, team.quota, token)
 
     async def serve(self, exchange: ServerExchange) -> None:
-        """Answer another node's question."""
-        await self._exchange().serve(exchange)
+        """Answer another node's quota request."""
+        await self._load_exchange().serve(exchange)
 
     def contacted(self, address: Address) -> None:
-        """Note that another node was heard from."""
-        if self._started is not None:
-            self._started.contacted(address)
+        """Record that a message from another node arrived."""
+        if self._loaded_exchange is not None:
+            self._loaded_exchange.contacted(address)
 
     def start(self) -> None:
-        """Begin to save up tokens; nothing if that has begun."""
-        self._exchange()
+        """Start to accrue tokens; does nothing if already started."""
+        self._load_exchange()
 
     def close(self) -> None:
-        """Stop what is under way."""
-        if self._started is not None:
-            self._started.close()
+        """Cancel quota requests in progress."""
+        if self._loaded_exchange is not None:
+            self._loaded_exchange.close()
 
-    def _exchange(self) -> QuotaExchange:
-        if self._started is None:
-            # Loading these takes a tenth of a node's start.
+    def _load_exchange(self) -> QuotaExchange:
+        if self._loaded_exchange is None:
+            # Importing these takes a tenth of a node's start.
             from hoisthook.mesh.quota_exchange import QuotaExchange
             from hoisthook.teams.quota_bounds import QuotaBounds
 
@@ -94,7 +94,7 @@
                 self._settings.quota_over_share,
                 self._settings.quota_extra,
             )
-            self._started = QuotaExchange(
+            self._loaded_exchange = QuotaExchange(
                 bounds, self._directory, self._pool, self._clock, self._log
             )
-        return self._started
+        return self._loaded_exchange
--- a/tests/mesh/conftest.py
+++ b/tests/mesh/conftest.py
@@ -12,8 +12,8 @@
     from collections.abc import AsyncIterator
 
 
-# All nodes of a test share one loop: where the machine lets it stand for 0.1 s, a node that is
-# there would count as out of reach.
+# All nodes of a test share one event loop: with the default timeout, a stall of 0.1 s would make a
+# running node appear unreachable.
 PATIENT_CONNECT_SECONDS = 2.0
 
 
--- a/tests/mesh/test_configuration_watch.py
+++ b/tests/mesh/test_configuration_watch.py
@@ -19,12 +19,12 @@
 
 @pytest.fixture(autouse=True)
 def long_waits(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Keep waits for changes from ending by themselves, so that calls can be counted."""
+    """Prevent waits for changes from timing out, so that calls can be counted."""
     monkeypatch.setattr(configuration_watch, "MIN_WAIT_SECONDS", LONG_SECONDS)
     monkeypatch.setattr(configuration_watch, "MAX_WAIT_SECONDS", LONG_SECONDS)
 
 
-async def test_change_is_in_force_without_a_new_question(system: MeshSystem) -> None:
+async def test_pending_wait_delivers_a_change(system: MeshSystem) -> None:
     await system.add("shop")
     system.publish(1, RouteOptions("shop"))
     await system.until_configured(1)
@@ -40,14 +40,16 @@
     system.publish(1, RouteOptions("shop"))
     await system.until_configured(1)
     before = len(system.store.calls)
-    begun = asyncio.get_running_loop().time()
+    started_at = asyncio.get_running_loop().time()
     for version in range(2, 22):
         system.publish(version, RouteOptions("shop"))
         await asyncio.sleep(0.01)
     await system.until_configured(21)
-    took = asyncio.get_running_loop().time() - begun
-    # One a pause, however slow the machine is, and what is under way at either end.
-    assert len(system.store.calls) - before <= 2 + took / configuration_watch.SETTLE_SECONDS
+    elapsed_seconds = asyncio.get_running_loop().time() - started_at
+    # One call per pause, however slow the machine is, and one in progress at either end.
+    assert (
+        len(system.store.calls) - before <= 2 + elapsed_seconds / configuration_watch.SETTLE_SECONDS
+    )
 
 
 async def test_older_version_is_not_taken(system: MeshSystem) -> None:
@@ -57,12 +59,12 @@
     system.publish(4, RouteOptions("other"))
     system.publish(6, RouteOptions("shop"))
     await system.until_configured(6)
-    taken = [line["version"] for line in system.log.named("configuration_taken")]
-    assert taken == [5, 6]
+    applied = [line["version"] for line in system.log.named("configuration_taken")]
+    assert applied == [5, 6]
     assert machine.node.configuration.version == 6
 
 
-async def test_record_that_cannot_be_read_is_logged_and_not_believed_in_part(
+async def test_unreadable_record_is_logged_and_not_applied_in_part(
     system: MeshSystem,
 ) -> None:
     machine = await system.add("shop")
@@ -73,7 +75,7 @@
     assert machine.node.configuration.version == 1
 
 
-async def test_store_that_was_silent_is_read_soon_after_it_is_back(
+async def test_unresponsive_store_is_read_soon_after_it_recovers(
     system: MeshSystem, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(configuration_watch, "MIN_WAIT_SECONDS", 0.05)
@@ -85,7 +87,7 @@
     await until(lambda: system.log.named("store_lost"))
     monkeypatch.setattr(configuration_watch, "MIN_WAIT_SECONDS", 60.0)
     monkeypatch.setattr(configuration_watch, "MAX_WAIT_SECONDS", 60.0)
-    # Reads that began in the outage stay silent, as the store's pages say.
+    # Reads that began during the outage stay unanswered, as the store's specification says.
     reads = system.store.calls.count("log-read")
     await until(lambda: system.store.calls.count("log-read") > reads)
     system.store.outage = Outage.NONE
@@ -94,7 +96,7 @@
     assert system.log.named("store_regained")
 
 
-async def test_history_that_was_forgotten_is_replaced_by_the_newest_record(
+async def test_deleted_history_is_replaced_by_the_newest_record(
     system: MeshSystem,
 ) -> None:
     machine = await system.add("shop")
@@ -106,7 +108,9 @@
     await system.until_configured(2)
 
 
-async def test_node_that_the_store_turns_away_learns_from_peers(system: MeshSystem) -> None:
+async def test_node_rejected_by_the_store_gets_the_configuration_from_peers(
+    system: MeshSystem,
+) -> None:
     first = await system.add("shop")
     system.publish(1, RouteOptions("shop"))
     await system.until_configured(1)
@@ -114,11 +118,11 @@
     late = await system.add("front")
     late.node.directory.merge([first.node.directory.me], "test")
     await asyncio.wait_for(system.until_configured(1), 3.0)
-    taken = system.log.named("configuration_taken")
-    assert taken[-1]["source"] == "peer"
+    applied = system.log.named("configuration_taken")
+    assert applied[-1]["source"] == "peer"
 
 
-async def test_node_that_knows_nobody_learns_from_the_first_request_that_a_peer_sends(
+async def test_node_without_peers_gets_the_configuration_after_the_first_hop(
     system: MeshSystem,
 ) -> None:
     ingress = await system.add("front")
@@ -126,7 +130,7 @@
     await system.until_configured(1)
     system.store.outage = Outage.BUSY
     server = await system.add("shop")
-    # On the platform, peers' ports are the same on all instances.
+    # On the platform, the port for peers is the same on all instances.
     server.node.sync.peer_port = ingress.node.peers_address[1]
     ingress.node.directory.merge([server.node.directory.me], "test")
     status, _, _ = await system.call(ingress)
@@ -143,7 +147,7 @@
     system.publish(1, RouteOptions("shop"))
     await system.until_configured(1)
     behind.node.sync.peer_port = ahead.node.peers_address[1]
-    # Its wait for changes hangs, as on a connection that an outage has silenced.
+    # Its wait for changes never ends, as on a connection that an outage has left without an answer.
     for task in behind.node._tasks:
         task.cancel()
     system.publish(2, RouteOptions("shop"))
@@ -177,7 +181,7 @@
     assert machine.node.directory.me in other.node.directory.peers()
 
 
-async def test_background_task_that_fails_is_told_of_and_started_again(
+async def test_failed_background_task_is_logged_and_restarted(
     system: MeshSystem,
 ) -> None:
     machine = await system.add("shop")
@@ -193,7 +197,7 @@
     assert "broken" in str(system.log.named("task_failed")[0]["reason"])
 
 
-async def test_configuration_that_cannot_be_read_is_not_asked_for_without_a_pause(
+async def test_unreadable_configuration_is_requested_with_pauses(
     system: MeshSystem, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     system.readers_per_data_centre = 1
@@ -202,12 +206,12 @@
     system.introduce_all()
     system.publish(1, RouteOptions("shop"))
     await system.until_configured(1)
-    followers = [m for m in system.machines if m.node._watch._readers.to_ask()]
+    followers = [m for m in system.machines if m.node._watch._readers.poll_targets()]
     for machine in followers:
         monkeypatch.setattr(machine.node.sync._exchange._decode, "assemble", lambda parts: None)
-    monkeypatch.setattr(configuration_watch, "FOLLOW_SECONDS", LONG_SECONDS)
+    monkeypatch.setattr(configuration_watch, "POLL_HOLD_SECONDS", LONG_SECONDS)
     system.publish(2, RouteOptions("shop"))
-    # A difference, then the whole, at each.
+    # Each follower logs one event for the delta and one for the full configuration.
     await until(lambda: len(system.log.named("configuration_misfit")) >= 2 * len(followers))
     await asyncio.sleep(0.2)
     assert len(system.log.named("configuration_misfit")) == 2 * len(followers)
--- a/tests/mesh/test_crash_notifier.py
+++ b/tests/mesh/test_crash_notifier.py
@@ -1,4 +1,4 @@
-"""Each way by which a node hears of ends that it has not seen itself."""
+"""Each way in which a node receives reports of crashes that it has not detected itself."""
 
 from __future__ import annotations
 
@@ -36,22 +36,22 @@
 WORK = WorkId("w")
 
 
-class SilentAtFirst:
-    """Peers that do not answer at first; in place of a `PeerSync`."""
+class UnresponsiveAtFirst:
+    """Fake `PeerSync` whose peers do not answer at first."""
 
-    def __init__(self, silent: dict[str, int]) -> None:
-        self._silent = silent
-        self.told: list[str] = []
-        self.all_told = asyncio.Event()
+    def __init__(self, failures_by_host: dict[str, int]) -> None:
+        self._failures_by_host = failures_by_host
+        self.notified: list[str] = []
+        self.all_notified = asyncio.Event()
 
-    async def tell_crashes(self, address: Address) -> bool:
+    async def send_crash_reports(self, address: Address) -> bool:
         host = address[0]
-        if self._silent.get(host, 0) > 0:
-            self._silent[host] -= 1
+        if self._failures_by_host.get(host, 0) > 0:
+            self._failures_by_host[host] -= 1
             return False
-        self.told.append(host)
-        if set(self.told) == {"10.0.0.1", "10.0.0.2", "10.0.0.3"}:
-            self.all_told.set()
+        self.notified.append(host)
+        if set(self.notified) == {"10.0.0.1", "10.0.0.2", "10.0.0.3"}:
+            self.all_notified.set()
         return True
 
 
@@ -65,35 +65,35 @@
     return directory
 
 
-async def test_all_of_the_service_are_told_until_each_has_heard(
+async def test_all_nodes_of_the_service_are_notified_until_each_acknowledges(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(crash_notifier, "FIRST_PAUSE_SECONDS", 0.001)
-    sync = SilentAtFirst({"10.0.0.2": 3})
-    news = CrashNotifier(directory_of_four(), sync, LoopClock())  # type: ignore[arg-type]
-    news.tell()
+    sync = UnresponsiveAtFirst({"10.0.0.2": 3})
+    notifier = CrashNotifier(directory_of_four(), sync, LoopClock())  # type: ignore[arg-type]
+    notifier.tell()
     async with asyncio.timeout(10.0):
-        await sync.all_told.wait()
-    assert sorted(sync.told) == ["10.0.0.1", "10.0.0.2", "10.0.0.3"]
+        await sync.all_notified.wait()
+    assert sorted(sync.notified) == ["10.0.0.1", "10.0.0.2", "10.0.0.3"]
 
 
-async def test_what_is_new_does_not_wait_for_one_that_is_silent(
+async def test_new_report_does_not_wait_for_an_unresponsive_node(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(crash_notifier, "FIRST_PAUSE_SECONDS", 600.0)
-    sync = SilentAtFirst({"10.0.0.2": 1})
-    news = CrashNotifier(directory_of_four(), sync, LoopClock())  # type: ignore[arg-type]
-    news.tell()
-    while len(sync.told) < 2:
+    sync = UnresponsiveAtFirst({"10.0.0.2": 1})
+    notifier = CrashNotifier(directory_of_four(), sync, LoopClock())  # type: ignore[arg-type]
+    notifier.tell()
+    while len(sync.notified) < 2:
         await asyncio.sleep(0)
-    news.tell()
+    notifier.tell()
     async with asyncio.timeout(10.0):
-        await sync.all_told.wait()
-    news.close()
+        await sync.all_notified.wait()
+    notifier.close()
 
 
-class StoredRecords:
-    """A store that keeps what is put, in place of the platform's."""
+class RecordStoreFake:
+    """Fake store that retains the records that are put."""
 
     def __init__(self) -> None:
         self.value_by_key: dict[str, bytes] = {}
@@ -105,7 +105,7 @@
         return 0
 
 
-def blamed_for_three_ends(clock: FakeClock) -> tuple[CrashEvidence, CrashMonitor]:
+def evidence_and_monitor(clock: FakeClock) -> tuple[CrashEvidence, CrashMonitor]:
     evidence = CrashEvidence(ListLog())
     return evidence, CrashMonitor(SHOP, evidence, clock)
 
@@ -116,64 +116,68 @@
     async def pass_time(seconds: float) -> None:
         clock.advance(seconds)
 
-    evidence, crash_monitor = blamed_for_three_ends(clock)
-    store = StoredRecords()
+    evidence, crash_monitor = evidence_and_monitor(clock)
+    store = RecordStoreFake()
     records = CrashRecords("t", store, evidence, crash_monitor, clock, ListLog(), wall=clock.now)  # type: ignore[arg-type]
     monkeypatch.setattr(crash_records.asyncio, "sleep", pass_time)
-    for life in range(3):
+    for crash_number in range(3):
         crash_monitor.ended(
-            [LostRequest(RequestId("q"), WORK, InstanceId(f"i-{life}"), clock.now())]
+            [LostRequest(RequestId("q"), WORK, InstanceId(f"i-{crash_number}"), clock.now())]
         )
     await store.written.wait()
     (key, value), *_ = store.value_by_key.items()
     another = CrashEvidence(ListLog())
-    reader = CrashRecords("t", store, another, crash_monitor, clock, ListLog(), wall=clock.now)  # type: ignore[arg-type]
-    assert reader.take(KeyedRecord(key, value))
+    reloaded = CrashRecords("t", store, another, crash_monitor, clock, ListLog(), wall=clock.now)  # type: ignore[arg-type]
+    assert reloaded.apply(KeyedRecord(key, value))
     while store.value_by_key[key]:
         await asyncio.wait([asyncio.ensure_future(store.written.wait())])
     assert another.refused_for(SHOP, WORK, clock.now()) == 0.0
     records.close()
 
 
-async def test_record_that_cannot_be_read_is_told_and_passed_over(clock: FakeClock) -> None:
-    evidence, crash_monitor = blamed_for_three_ends(clock)
+async def test_unreadable_crash_record_is_logged_and_skipped(clock: FakeClock) -> None:
+    evidence, crash_monitor = evidence_and_monitor(clock)
     log = ListLog()
-    records = CrashRecords("t", StoredRecords(), evidence, crash_monitor, clock, log)  # type: ignore[arg-type]
+    records = CrashRecords("t", RecordStoreFake(), evidence, crash_monitor, clock, log)  # type: ignore[arg-type]
     for value in (b"", b"{}", b"\xff", b'{"at":1,"reports":[{"work":1}]}'):
-        assert records.take(KeyedRecord("crash/x", value))
+        assert records.apply(KeyedRecord("crash/x", value))
     assert len(log.named("crash_record_unreadable")) == 4
-    assert not records.take(KeyedRecord("node-1", b"{}"))
+    assert not records.apply(KeyedRecord("node-1", b"{}"))
     assert len(evidence) == 0
 
 
 async def two_machines(system: MeshSystem) -> tuple[Machine, Machine]:
-    """Return a node that knows of an end and one that does not; none asks by itself."""
-    knows = await system.add("shop")
+    """Return a node that knows of a crash and one that does not, without background tasks."""
+    informed = await system.add("shop")
     other = await system.add("shop")
-    for machine in (knows, other):
+    for machine in (informed, other):
         for task in machine.node._tasks:
             task.cancel()
-    knows.node.crashes.evidence.ended(SHOP, WORK, InstanceId("i-1"), LoopClock().now())
-    return knows, other
+    informed.node.crashes.evidence.ended(SHOP, WORK, InstanceId("i-1"), LoopClock().now())
+    return informed, other
 
 
-async def test_who_asks_is_told_what_it_lacks(system: MeshSystem) -> None:
-    knows, other = await two_machines(system)
-    await other.node.sync.ask(knows.node.peers_address)
-    assert other.node.crashes.evidence.digest(SHOP) == knows.node.crashes.evidence.digest(SHOP)
+async def test_requester_receives_missing_crash_reports(system: MeshSystem) -> None:
+    informed, other = await two_machines(system)
+    await other.node.sync.poll(informed.node.peers_address)
+    assert other.node.crashes.evidence.digest(SHOP) == informed.node.crashes.evidence.digest(SHOP)
 
 
-async def test_who_is_asked_is_told_next_what_it_lacks(system: MeshSystem) -> None:
-    knows, other = await two_machines(system)
-    await knows.node.sync.ask(other.node.peers_address, wants_news=True)
+async def test_polled_node_receives_missing_crash_reports_with_the_next_poll(
+    system: MeshSystem,
+) -> None:
+    informed, other = await two_machines(system)
+    await informed.node.sync.poll(other.node.peers_address, wants_news=True)
     assert not other.node.crashes.evidence.suspects(SHOP)
-    await knows.node.sync.ask(other.node.peers_address, wants_news=True)
-    assert other.node.crashes.evidence.digest(SHOP) == knows.node.crashes.evidence.digest(SHOP)
+    await informed.node.sync.poll(other.node.peers_address, wants_news=True)
+    assert other.node.crashes.evidence.digest(SHOP) == informed.node.crashes.evidence.digest(SHOP)
 
 
-async def test_nothing_is_told_where_both_know_the_same(system: MeshSystem) -> None:
-    knows, other = await two_machines(system)
-    await knows.node.sync.tell_crashes(other.node.peers_address)
-    question = knows.node.sync._question(other.node.peers_address, wants_news=True)
-    assert question.crashes == []
-    assert other.node.sync._answers.reply_to(question, store_away=False).crashes == []
+async def test_no_crash_reports_are_sent_between_nodes_with_equal_digests(
+    system: MeshSystem,
+) -> None:
+    informed, other = await two_machines(system)
+    await informed.node.sync.send_crash_reports(other.node.peers_address)
+    request = informed.node.sync._request(other.node.peers_address, wants_news=True)
+    assert request.crashes == []
+    assert other.node.sync._responder.reply_to(request, store_away=False).crashes == []
--- a/tests/mesh/test_crashing_requests.py
+++ b/tests/mesh/test_crashing_requests.py
@@ -1,10 +1,11 @@
-"""Requests that end the backend servers that run them.
+"""Requests that crash the backend servers that run them.
 
-Some work ended each backend server that began to run it. It came again and again, under a new id
-and through another node each time, and every time it was sent on as if it had never run: what the
-tries of a request had shown was forgotten with its answer. Two requests that came 14 ms apart
-through two entries ended one backend server together, each after one or two tries of its own, and
-fifteen backend servers ended in a wave, with all that ran beside it:
+Guards against repeated crashes by the same work: it arrives again and again, each time with a new
+request id and through another ingress node. If nodes discard what the attempts of a request have
+shown once it is answered, every arrival is forwarded as if it had never run. Two requests that
+arrived 14 ms apart at two ingress nodes crashed one backend server together, each after one or two
+attempts; fifteen backend servers crashed in a row, and with them all requests that they were
+running:
 
     sidecar-salt-lake-hall-4 answered 2d8aeeae5533ac10 code=3001 tries=1 ran=1 took_ms=133.4
     sidecar-barasat-hall-1   answered a47ec1a288bb1dbb code=3001 tries=2 ran=1 took_ms=401.4
@@ -33,14 +34,14 @@
 SERVERS = 4
 INGRESSES = 3
 ROUNDS = 12
-# The third end is the first proof; two more may be under way before all have heard of it.
-MOST_ENDED = 5
+# The third crash is the first proof; two more may happen before all nodes have been notified.
+MAX_CRASHES = 5
 
 
 async def ingresses_and_servers(
     system: MeshSystem, *, safe: bool = True
 ) -> tuple[list[Machine], list[Machine]]:
-    """Return entries and the machines of a service that ends under one request."""
+    """Return ingress nodes and the machines of a service that crashes under one request."""
     ingresses = [await system.add("front", data_centre=f"c{n % 2}") for n in range(INGRESSES)]
     shops = [await system.add("shop", data_centre=f"c{n % 2}") for n in range(SERVERS)]
     system.introduce_all()
@@ -51,10 +52,10 @@
     return ingresses, shops
 
 
-async def bring_back(system: MeshSystem, shops: list[Machine]) -> None:
-    """Start what has ended as another incarnation, once the node beside knows of the end."""
-    ended = [shop for shop in shops if shop.backend.crashed.is_set()]
-    for shop in ended:
+async def restart_crashed(system: MeshSystem, shops: list[Machine]) -> None:
+    """Restart crashed servers as new incarnations, once their nodes have detected the crash."""
+    crashed_shops = [shop for shop in shops if shop.backend.crashed.is_set()]
+    for shop in crashed_shops:
         before = shop.backend.instance
         await until(
             lambda before=before: any(
@@ -69,19 +70,21 @@
     return sum(len(shop.backend.crashes) for shop in shops)
 
 
-async def test_work_that_ends_backend_servers_is_not_sent_on_for_ever(system: MeshSystem) -> None:
+async def test_work_that_crashes_backend_servers_is_not_forwarded_indefinitely(
+    system: MeshSystem,
+) -> None:
     ingresses, shops = await ingresses_and_servers(system)
     for number in range(ROUNDS):
         status, _, _ = await system.call(ingresses[number % INGRESSES], CRASHING)
         assert status in (502, 503)
-        await bring_back(system, shops)
+        await restart_crashed(system, shops)
         status, _, _ = await system.call(ingresses[number % INGRESSES], f"/jobs/{number}")
         assert status == 200
-    assert crashes(shops) <= MOST_ENDED
+    assert crashes(shops) <= MAX_CRASHES
 
 
 def refusals(system: MeshSystem) -> int:
-    """Return how many requests were refused for the work that they ask for."""
+    """Return how many requests were refused because their work crashes servers."""
     number = ResultCode.WORK_ENDS_SERVERS.number
     return sum(line["code"] == number for line in system.log.named("answered"))
 
@@ -89,11 +92,11 @@
 async def send_until_refused(
     system: MeshSystem, ingress: Machine, shops: list[Machine], method: bytes = b"GET"
 ) -> None:
-    """Send the crashing work until all nodes of the service know of three ends."""
+    """Send the crashing work until all nodes of the service know of three crashes."""
     body = b"some body" if method == b"POST" else b""
     for _ in range(ROUNDS):
         await system.call(ingress, CRASHING, method=method, body=body)
-        await bring_back(system, shops)
+        await restart_crashed(system, shops)
         if refusals(system):
             break
     await until(lambda: all(shop.node.crashes.evidence.refused == 1 for shop in shops))
@@ -120,18 +123,18 @@
     assert len(system.log.named("not_admitted")) == before + 1
 
 
-async def test_it_is_refused_while_the_store_is_away(system: MeshSystem) -> None:
+async def test_crashing_work_is_refused_while_the_store_is_unavailable(system: MeshSystem) -> None:
     ingresses, shops = await ingresses_and_servers(system)
     system.store.outage = Outage.RESET
     await send_until_refused(system, ingresses[0], shops)
-    assert crashes(shops) <= MOST_ENDED
+    assert crashes(shops) <= MAX_CRASHES
 
 
 def crash_records(system: MeshSystem) -> list[str]:
     return [key for key in system.store.topic(NODES_TOPIC).newest() if key.startswith("crash/")]
 
 
-async def test_node_that_starts_again_hears_of_it_from_others(system: MeshSystem) -> None:
+async def test_restarted_node_receives_crash_reports_from_peers(system: MeshSystem) -> None:
     ingresses, shops = await ingresses_and_servers(system)
     await send_until_refused(system, ingresses[0], shops)
     await until(lambda: bool(crash_records(system)))
@@ -143,7 +146,7 @@
     await until(lambda: again.node.crashes.evidence.refused == 1)
 
 
-async def test_it_is_still_known_after_a_restart_of_all(system: MeshSystem) -> None:
+async def test_crash_records_survive_a_restart_of_all_nodes(system: MeshSystem) -> None:
     ingresses, shops = await ingresses_and_servers(system)
     await send_until_refused(system, ingresses[0], shops)
     await until(lambda: bool(crash_records(system)))
@@ -159,18 +162,18 @@
     assert (status, crashes(shops)) == (503, before)
 
 
-async def test_node_that_was_cut_off_is_told_once_it_is_back(system: MeshSystem) -> None:
+async def test_partitioned_node_is_notified_once_it_is_reachable(system: MeshSystem) -> None:
     ingresses, shops = await ingresses_and_servers(system)
     shops[-1].node._peers.stop_listening()
     for _ in range(ROUNDS):
         await system.call(ingresses[0], CRASHING)
-        await bring_back(system, shops)
+        await restart_crashed(system, shops)
     assert shops[-1].node.crashes.evidence.refused <= 1
     await shops[-1].node._peers.start()
     await until(lambda: shops[-1].node.crashes.evidence.refused == 1)
 
 
-async def test_loss_of_power_is_held_against_no_work(system: MeshSystem) -> None:
+async def test_power_loss_is_not_blamed_on_any_work(system: MeshSystem) -> None:
     ingresses, shops = await ingresses_and_servers(system)
     lost = [shop for shop in shops if shop.node.directory.me.data_centre == "c0"]
     for shop in shops:
@@ -192,7 +195,7 @@
     assert not any(len(machine.node.crashes.evidence) for machine in system.machines)
 
 
-async def test_server_that_drops_connections_has_not_ended(system: MeshSystem) -> None:
+async def test_dropped_connections_are_not_taken_for_a_crash(system: MeshSystem) -> None:
     ingresses, shops = await ingresses_and_servers(system)
     for number in range(8):
         for shop in shops:
@@ -207,7 +210,7 @@
     assert not refusals(system)
 
 
-async def test_what_ran_beside_it_is_served(system: MeshSystem) -> None:
+async def test_requests_running_with_the_crashing_work_are_served(system: MeshSystem) -> None:
     ingresses, shops = await ingresses_and_servers(system)
     for shop in shops:
         shop.backend.work_seconds = 0.02
@@ -216,8 +219,8 @@
         sent = [system.call(ingresses[n % 3], f"/jobs/{number}/{n}") for n in range(6)]
         answers = await asyncio.gather(system.call(ingresses[0], CRASHING), *sent)
         served += sum(status == 200 for status, _, _ in answers[1:])
-        await bring_back(system, shops)
+        await restart_crashed(system, shops)
     assert refusals(system)
     refused = {line["work"] for line in system.log.named("work_refused")}
     assert len(refused) == 1
-    assert served >= 6 * (ROUNDS - MOST_ENDED)
+    assert served >= 6 * (ROUNDS - MAX_CRASHES)
--- a/tests/mesh/test_evacuation.py
+++ b/tests/mesh/test_evacuation.py
@@ -1,4 +1,4 @@
-"""A data centre that operators have evacuated gets nothing until it is taken back."""
+"""A data centre that operators have evacuated receives no requests until it is restored."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 async def ingress_and_two_servers(system: MeshSystem) -> tuple[Machine, Machine, Machine]:
-    """Return an entry, a backend server near it and one far away."""
+    """Return an ingress node, a machine of the service near it and one far away."""
     ingress = await system.add("front")
     near = await system.add("shop")
     far = await system.add("shop", data_centre="two")
@@ -41,7 +41,7 @@
     await until(lambda: all(m.node.evacuations.data_centres == wanted for m in system.machines))
 
 
-async def test_nothing_goes_there_until_it_is_taken_back(system: MeshSystem) -> None:
+async def test_evacuated_data_centre_receives_nothing_until_restored(system: MeshSystem) -> None:
     ingress, near, far = await ingress_and_two_servers(system)
     system.evacuate("one")
     await until_known(system, ONE)
@@ -49,7 +49,7 @@
         status, _, _ = await system.call(ingress)
         assert status == 200
     assert (len(near.backend.arrivals), len(far.backend.arrivals)) == (0, 5)
-    # Whoever knows of it does not ask there in vain.
+    # A node that knows of the evacuation sends no requests there in vain.
     assert not system.log.named("not_admitted")
     system.restore("one")
     await until_known(system)
@@ -59,7 +59,7 @@
     assert len(near.backend.arrivals) == 1
 
 
-async def test_calls_that_begin_there_still_go_out(system: MeshSystem) -> None:
+async def test_calls_from_the_evacuated_data_centre_still_leave_it(system: MeshSystem) -> None:
     ingress, _, far = await ingress_and_two_servers(system)
     system.evacuate("one")
     await until_known(system, ONE)
@@ -69,22 +69,26 @@
     assert far.backend.arrivals[-1].headers[b"x-caller-service"] == b"front"
 
 
-async def test_request_is_refused_at_once_where_nowhere_is_left(system: MeshSystem) -> None:
+async def test_request_is_refused_at_once_when_all_data_centres_are_evacuated(
+    system: MeshSystem,
+) -> None:
     ingress, near, far = await ingress_and_two_servers(system)
     system.evacuate("one")
     system.evacuate("two")
     await until_known(system, ONE, TWO)
-    begun = asyncio.get_running_loop().time()
+    started_at = asyncio.get_running_loop().time()
     status, headers, _ = await system.call(ingress)
     assert status == 503
     assert float(headers[b"retry-after"]) > 0
-    # Far below the target of one second.
-    assert asyncio.get_running_loop().time() - begun < 0.5
+    # Far below the target latency of one second.
+    assert asyncio.get_running_loop().time() - started_at < 0.5
     assert not near.backend.arrivals
     assert not far.backend.arrivals
 
 
-async def test_sender_that_has_not_heard_of_it_is_turned_away_beside(system: MeshSystem) -> None:
+async def test_sender_unaware_of_the_evacuation_is_rejected_by_the_target_node(
+    system: MeshSystem,
+) -> None:
     ingress, near, far = await ingress_and_two_servers(system)
     near.node.evacuations.offer(1000, [ONE], ConfigurationSource.PEER)
     status, _, _ = await system.call(ingress)
@@ -92,7 +96,7 @@
     assert (len(near.backend.arrivals), len(far.backend.arrivals)) == (0, 1)
 
 
-async def test_work_in_progress_ends_and_waiting_work_leaves(system: MeshSystem) -> None:
+async def test_running_request_finishes_after_an_evacuation(system: MeshSystem) -> None:
     ingress, near, _ = await ingress_and_two_servers(system)
     near.backend.work_seconds = 0.3
     running = asyncio.create_task(system.call(ingress, request_id="running"))
@@ -104,8 +108,10 @@
     assert [run.request_id for run in near.backend.arrivals] == ["running"]
 
 
-async def test_request_whose_body_arrives_after_it_is_not_sent(system: MeshSystem) -> None:
-    """As with a slow link between the node that admits and the one that sends the body."""
+async def test_request_with_a_body_arriving_after_the_evacuation_is_not_forwarded(
+    system: MeshSystem,
+) -> None:
+    """Guards against forwarding after a slow body: admission comes before the evacuation."""
     ingress, near, _ = await ingress_and_two_servers(system)
     link = near.node.link
     connect = link._exchanges.connect
@@ -121,7 +127,7 @@
     assert not near.backend.arrivals
 
 
-async def test_node_that_starts_later_knows_it_and_so_does_one_after_a_restart_of_all(
+async def test_evacuation_is_known_to_nodes_started_later_and_after_a_full_restart(
     system: MeshSystem,
 ) -> None:
     await ingress_and_two_servers(system)
@@ -131,13 +137,13 @@
         machine.crash()
         machine.backend.close()
     system.machines.clear()
-    # What the operators wrote is still there, as the newest record of its key only.
+    # Only the newest record of each key is still retained, that of the operators among them.
     system.store.forget("keyed.op")
     later = await system.add("front")
     await until(lambda: later.node.evacuations.data_centres == {TWO})
 
 
-async def test_node_that_the_store_turns_away_hears_of_it_from_peers(system: MeshSystem) -> None:
+async def test_node_rejected_by_the_store_gets_evacuations_from_peers(system: MeshSystem) -> None:
     _, near, _ = await ingress_and_two_servers(system)
     system.store.outage = Outage.BUSY
     later = await system.add("front", data_centre="three")
@@ -146,7 +152,7 @@
     await until(lambda: later.node.evacuations.data_centres == {TWO})
 
 
-async def test_removal_that_was_missed_with_the_history_is_heard_of(
+async def test_restoration_missed_with_deleted_history_is_noticed(
     system: MeshSystem, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(configuration_watch, "MAX_WAIT_SECONDS", 1.0)
@@ -161,7 +167,7 @@
     assert not ingress.node.evacuations.data_centres
 
 
-async def test_it_costs_the_store_no_more_calls(system: MeshSystem) -> None:
+async def test_evacuation_costs_no_additional_store_reads(system: MeshSystem) -> None:
     await ingress_and_two_servers(system)
     reads = system.store.calls.count("log-newest")
     system.evacuate("one")
@@ -169,7 +175,7 @@
     assert system.store.calls.count("log-newest") == reads
 
 
-def test_older_view_changes_nothing_whichever_way_it_comes() -> None:
+def test_older_evacuation_revision_changes_nothing_from_either_source() -> None:
     evacuations = Evacuations(ListLog())
     assert evacuations.offer(10, [ONE], ConfigurationSource.STORE)
     assert not evacuations.offer(9, [], ConfigurationSource.PEER)
--- a/tests/mesh/test_key_lease.py
+++ b/tests/mesh/test_key_lease.py
@@ -1,4 +1,4 @@
-"""Where keys must be gone in time, a node that cannot know stops taking them."""
+"""With a limit on the revocation of keys, a node without a confirmed configuration refuses them."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 ROUTES = (RouteOptions("shop"), RouteOptions("shop", prefix="/open/", public=True))
 
 
-async def running(system: MeshSystem) -> None:
+async def start_system(system: MeshSystem) -> None:
     system.keys = MeshKeySettings(REVOCATION_SECONDS)
     system.readers_per_data_centre = 1
     for _ in range(4):
@@ -30,10 +30,10 @@
     await system.until_configured(1)
 
 
-async def test_keys_are_refused_once_nobody_can_know_and_taken_again_after(
+async def test_keys_are_refused_after_the_lease_lapses_and_accepted_after_recovery(
     system: MeshSystem,
 ) -> None:
-    await running(system)
+    await start_system(system)
     for machine in system.machines:
         assert (await system.call(machine, key="key"))[0] == 200
     now = system.machines[0].node._clock.now
@@ -44,29 +44,29 @@
     for machine in system.machines:
         status, _, body = await system.call(machine, key="key")
         assert (status, body.split()[0]) == (503, b"2027")
-        # Who needs no key is served all the same.
+        # Requests that need no key are still served.
         assert (await system.call(machine, "/open/x"))[0] == 200
     system.store.outage = Outage.NONE
     await until(lambda: all(m.node.key_lease.holds(now()) for m in system.machines))
     assert (await system.call(system.machines[0], key="key"))[0] == 200
 
 
-async def test_nodes_that_do_not_read_the_store_keep_their_leases_by_their_reader(
+async def test_polling_nodes_renew_their_leases_through_the_reader(
     system: MeshSystem,
 ) -> None:
-    await running(system)
+    await start_system(system)
     now = system.machines[0].node._clock.now
-    until_moment = now() + 2 * REVOCATION_SECONDS
-    while now() < until_moment:
+    ends_at = now() + 2 * REVOCATION_SECONDS
+    while now() < ends_at:
         for machine in system.machines:
             assert (await system.call(machine, key="key"))[0] == 200
 
 
 @pytest.mark.parametrize("seconds", [0.0])
-async def test_where_it_is_not_asked_for_a_node_goes_on_serving(
+async def test_node_without_a_revocation_limit_continues_to_serve(
     system: MeshSystem, seconds: float
 ) -> None:
-    await running(system)
+    await start_system(system)
     system.store.outage = Outage.BUSY
     machine = system.machines[0]
     machine.node._ingress._lease._seconds = seconds
--- a/tests/mesh/test_leaving.py
+++ b/tests/mesh/test_leaving.py
@@ -37,7 +37,7 @@
 @pytest.fixture(autouse=True)
 def short_linger(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(mesh_node, "LINGER_SECONDS", 0.2)
-    monkeypatch.setattr(mesh_node, "LEAVING_SECONDS", 0.0)
+    monkeypatch.setattr(mesh_node, "ADMIT_WHILE_LEAVING_SECONDS", 0.0)
 
 
 async def shops(system: MeshSystem, count: int, *, safe: bool = True) -> list[Machine]:
@@ -72,7 +72,7 @@
 async def test_leaving_node_runs_what_no_other_can_start(
     system: MeshSystem, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(mesh_node, "LEAVING_SECONDS", 0.2)
+    monkeypatch.setattr(mesh_node, "ADMIT_WHILE_LEAVING_SECONDS", 0.2)
     ingress, first, second = await shops(system, 2)
     closing = asyncio.create_task(first.node.close())
     await asyncio.sleep(0)
--- a/tests/mesh/test_quota_messages.py
+++ b/tests/mesh/test_quota_messages.py
@@ -1,4 +1,4 @@
-"""What a node cannot read of another's words about quotas is passed over and told of."""
+"""Quota requests that cannot be decoded are refused and logged."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     from standin.mesh_system import MeshSystem
 
 
-def question(wanted: float, unused: object = ()) -> bytes:
+def quota_request(wanted: float, unused: object = ()) -> bytes:
     return msgspec.msgpack.encode(["port", [1.0, 1.0], wanted, unused, False, 0])
 
 
@@ -27,22 +27,24 @@
         b"\xff\x00",
         b"{}",
         msgspec.msgpack.encode(["port"]),
-        question(float("nan")),
-        question(float("inf")),
-        question(-3.0),
-        question(1.0, [["old", 0]]),
+        quota_request(float("nan")),
+        quota_request(float("inf")),
+        quota_request(-3.0),
+        quota_request(1.0, [["old", 0]]),
     ],
 )
-async def test_unreadable_question_is_refused_and_told_of(system: MeshSystem, data: bytes) -> None:
+async def test_unreadable_quota_request_is_refused_and_logged(
+    system: MeshSystem, data: bytes
+) -> None:
     node = (await system.add("shop")).node
     system.publish(1, RouteOptions("shop"))
     await system.until_configured(1)
     pool = ClientPool()
     connection = await pool.acquire(node.peers_address, 1.0)
-    answered = await exchange_buffered(
+    exchange_result = await exchange_buffered(
         connection, b"POST", QUOTA_PATH, [(b"host", b"n")], data, timeout=1.0
     )
-    assert isinstance(answered, tuple)
-    assert answered[0].status == 400
+    assert isinstance(exchange_result, tuple)
+    assert exchange_result[0].status == 400
     assert [line["code"] for line in system.log.named("peer_message_unreadable")] == [4010]
     pool.close()
--- a/tests/mesh/test_silent_node.py
+++ b/tests/mesh/test_silent_node.py
@@ -27,7 +27,7 @@
 @pytest.fixture(autouse=True)
 def short_linger(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(mesh_node, "LINGER_SECONDS", 1.0)
-    monkeypatch.setattr(mesh_node, "LEAVING_SECONDS", 0.0)
+    monkeypatch.setattr(mesh_node, "ADMIT_WHILE_LEAVING_SECONDS", 0.0)
 
 
 class Stall:
--- a/tests/mesh/test_store_era.py
+++ b/tests/mesh/test_store_era.py
@@ -1,4 +1,4 @@
-"""A store that comes back from an older copy takes nothing back that was in force."""
+"""A store that has regressed to an older copy does not revert what was in force."""
 
 from __future__ import annotations
 
@@ -34,10 +34,10 @@
     monkeypatch.setattr(configuration_watch, "MIN_WAIT_SECONDS", 0.2)
     monkeypatch.setattr(configuration_watch, "MAX_WAIT_SECONDS", 0.4)
     monkeypatch.setattr(evacuation_reading, "REWRITTEN_SECONDS", REWRITTEN_SECONDS)
-    monkeypatch.setattr(registration, "AGAIN_SECONDS", 0.2)
+    monkeypatch.setattr(registration, "REREGISTRATION_SECONDS", 0.2)
 
 
-async def running(system: MeshSystem, nodes: int = 4) -> None:
+async def start_system(system: MeshSystem, nodes: int = 4) -> None:
     system.store.era = 1
     system.readers_per_data_centre = 2
     for _ in range(nodes):
@@ -56,44 +56,44 @@
     await until(lambda: all(m.node.era.current == era for m in system.machines))
 
 
-def evacuated_ever(system: MeshSystem) -> list[object]:
+def evacuation_changes(system: MeshSystem) -> list[object]:
     return [line["data_centres"] for line in system.log.named("evacuations_changed")]
 
 
 async def test_an_evacuation_stays_in_force(system: MeshSystem) -> None:
-    await running(system)
+    await start_system(system)
     system.store.copy()
     system.evacuate("two")
     await until_evacuated(system, TWO)
-    changes = len(evacuated_ever(system))
+    changes = len(evacuation_changes(system))
     system.store.regress()
     await until_era(system, 2)
     system.evacuate("two")
     await asyncio.sleep(2 * REWRITTEN_SECONDS)
     await until_evacuated(system, TWO)
-    assert len(evacuated_ever(system)) == changes
+    assert len(evacuation_changes(system)) == changes
 
 
 async def test_a_restoration_is_not_undone(system: MeshSystem) -> None:
-    await running(system)
+    await start_system(system)
     system.evacuate("two")
     await until_evacuated(system, TWO)
     system.store.copy()
     system.restore("two")
     await until_evacuated(system)
-    changes = len(evacuated_ever(system))
+    changes = len(evacuation_changes(system))
     system.store.regress()
     await until_era(system, 2)
     system.restore("two")
     await asyncio.sleep(2 * REWRITTEN_SECONDS)
     await until_evacuated(system)
-    assert len(evacuated_ever(system)) == changes
+    assert len(evacuation_changes(system)) == changes
 
 
-async def test_changes_go_on_from_offsets_given_out_again_also_twice_in_a_row(
+async def test_changes_continue_from_reused_offsets_after_two_regressions(
     system: MeshSystem,
 ) -> None:
-    await running(system)
+    await start_system(system)
     system.store.copy()
     for version in range(2, 9):
         system.publish(version, RouteOptions("shop"))
@@ -108,8 +108,8 @@
     await until_evacuated(system, TWO)
 
 
-async def test_a_key_that_was_taken_away_stays_away(system: MeshSystem) -> None:
-    await running(system)
+async def test_revoked_key_stays_revoked(system: MeshSystem) -> None:
+    await start_system(system)
     held = TeamOptions("port", ("old", "new"))
     system.publish(2, RouteOptions("shop"), teams=[held])
     await system.until_configured(2)
@@ -125,7 +125,7 @@
 
 async def test_nodes_that_the_copy_lacks_register_again(system: MeshSystem) -> None:
     system.store.copy()
-    await running(system)
+    await start_system(system)
     assert len(system.store.topic(NODES_TOPIC).newest()) == 4
     system.store.regress()
     await until_era(system, 2)
@@ -135,21 +135,21 @@
 async def test_nodes_that_the_copy_holds_write_nothing(
     system: MeshSystem, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Only who registered lately may be missing; the others would come all at once."""
+    """Only recent registrations may be missing; otherwise all nodes would write at once."""
     monkeypatch.setattr(registration, "COPY_AGE_SECONDS", 0.0)
-    await running(system)
+    await start_system(system)
     system.store.copy()
     system.store.regress()
     await until_era(system, 2)
     before = system.store.calls.count("log-append")
-    await asyncio.sleep(3 * registration.AGAIN_SECONDS)
+    await asyncio.sleep(3 * registration.REREGISTRATION_SECONDS)
     assert system.store.calls.count("log-append") == before
 
 
 async def test_a_list_in_pages_is_of_one_history(
     system: MeshSystem, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The store comes back older between two pages: what the first told is not mixed with it."""
+    """Guards against mixing pages if the store regresses between two pages of one list."""
     monkeypatch.setattr(mesh_store, "MAX_ITEMS", 2)
     system.store.era = 1
     for number in range(3):
@@ -177,17 +177,17 @@
     }
 
 
-async def test_a_node_whose_way_still_leads_to_the_older_history_believes_its_peers(
+async def test_node_connected_to_the_older_history_uses_the_state_of_its_peers(
     system: MeshSystem,
 ) -> None:
-    await running(system)
+    await start_system(system)
     system.evacuate("two")
     await until_evacuated(system, TWO)
-    told = system.machines[0].node
-    told.era.heard(2)
-    await until(lambda: told.sync.store_away)
-    assert told.evacuations.data_centres == frozenset({TWO})
+    stale_node = system.machines[0].node
+    stale_node.era.heard(2)
+    await until(lambda: stale_node.sync.store_away)
+    assert stale_node.evacuations.data_centres == frozenset({TWO})
     system.store.era = 2
-    await until(lambda: not told.sync.store_away)
+    await until(lambda: not stale_node.sync.store_away)
     system.restore("two")
     await until_evacuated(system)
--- a/tests/mesh/test_store_readers.py
+++ b/tests/mesh/test_store_readers.py
@@ -19,20 +19,20 @@
 
 @pytest.fixture(autouse=True)
 def long_waits(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Keep waits for changes from ending by themselves, so that calls can be counted."""
+    """Prevent waits for changes from timing out, so that calls can be counted."""
     monkeypatch.setattr(configuration_watch, "MIN_WAIT_SECONDS", LONG_SECONDS)
     monkeypatch.setattr(configuration_watch, "MAX_WAIT_SECONDS", LONG_SECONDS)
 
 
 async def one_data_centre(system: MeshSystem) -> tuple[list[Machine], list[Machine]]:
-    """Return the readers and the others, all with the first configuration."""
+    """Return the readers and the other machines, all with the first configuration."""
     system.readers_per_data_centre = READERS
     for _ in range(NODES):
         await system.add("shop")
     system.introduce_all()
     system.publish(1, RouteOptions("shop"))
     await system.until_configured(1)
-    readers = [m for m in system.machines if not m.node._watch._readers.to_ask()]
+    readers = [m for m in system.machines if not m.node._watch._readers.poll_targets()]
     return readers, [m for m in system.machines if m not in readers]
 
 
@@ -71,4 +71,4 @@
     await one_data_centre(system)
     far = await system.add("shop", data_centre="two")
     system.introduce_all()
-    assert far.node._watch._readers.to_ask() == []
+    assert far.node._watch._readers.poll_targets() == []
--- a/tests/mesh/test_suspicion.py
+++ b/tests/mesh/test_suspicion.py
@@ -1,4 +1,4 @@
-"""Nodes that are gone are found out by few and known to all of a data centre."""
+"""Unreachable nodes are detected by a few nodes and suspected by all nodes of a data centre."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 async def ingresses_and_two_servers(
     system: MeshSystem, data_centre: str = "two"
 ) -> tuple[list[Machine], Machine, Machine]:
-    """Return five entries, a backend server's node that stays and one that is gone."""
+    """Return five ingress nodes, a running node of the service and a crashed one."""
     system.readers_per_data_centre = 2
     ingresses = [await system.add("front") for _ in range(5)]
     staying = await system.add("shop")
@@ -42,10 +42,10 @@
     return ingresses, staying, leaving
 
 
-async def test_what_two_nodes_found_out_the_others_need_not(system: MeshSystem) -> None:
+async def test_two_reports_make_all_nodes_suspect_an_unreachable_node(system: MeshSystem) -> None:
     ingresses, staying, leaving = await ingresses_and_two_servers(system)
     for ingress in ingresses[:2]:
-        # Only the node that is gone is left to be asked.
+        # Only the crashed node is left to send the request to.
         view_of(ingress, staying).close_until(asyncio.get_running_loop().time() + 0.2)
         await system.call(ingress)
     await until(lambda: all(view_of(e, leaving).suspected for e in ingresses))
@@ -54,12 +54,12 @@
     leaving.backend.close()
 
 
-async def test_one_that_reaches_it_again_clears_it_for_all(system: MeshSystem) -> None:
+async def test_successful_probe_clears_the_suspicion_for_all(system: MeshSystem) -> None:
     ingresses, _, leaving = await ingresses_and_two_servers(system)
     for ingress in ingresses:
-        found = ingress.node.directory.findings
+        reports = ingress.node.directory.reachability_reports
         now = asyncio.get_running_loop().time()
-        found.note(leaving.node.directory.me.node, now, reached=False)
+        reports.note(leaving.node.directory.me.node, now, reached=False)
     await until(lambda: all(view_of(e, leaving).suspected for e in ingresses))
     await system.start_again(leaving)
     ingresses[0].node._hop.probe(view_of(ingresses[0], leaving))
@@ -67,7 +67,7 @@
     assert view_of(ingresses[1], leaving).closed_until <= asyncio.get_running_loop().time()
 
 
-async def test_node_that_was_just_heard_from_is_not_suspected_on_hearsay(
+async def test_node_with_a_recent_own_report_is_not_suspected_on_reports_of_others(
     system: MeshSystem,
 ) -> None:
     ingresses, staying, _ = await ingresses_and_two_servers(system)
@@ -78,20 +78,20 @@
     assert not view_of(ingresses[0], staying).suspected
 
 
-async def test_start_of_its_own_clears_it_without_a_probe(system: MeshSystem) -> None:
+async def test_restart_clears_the_suspicion_without_a_probe(system: MeshSystem) -> None:
     ingresses, _, leaving = await ingresses_and_two_servers(system, "one")
     for ingress in ingresses:
-        found = ingress.node.directory.findings
+        reports = ingress.node.directory.reachability_reports
         now = asyncio.get_running_loop().time()
-        found.note(leaving.node.directory.me.node, now, reached=False)
+        reports.note(leaving.node.directory.me.node, now, reached=False)
     await until(lambda: all(view_of(e, leaving).suspected for e in ingresses))
     await system.start_again(leaving)
     await until(lambda: not any(view_of(e, leaving).suspected for e in ingresses))
 
 
-async def test_findings_of_nodes_that_ask_different_ones_add_up(system: MeshSystem) -> None:
-    """As in a large data centre, where few nodes ask a reader themselves."""
-    # Each alone in its data centre, so that nobody asks but as told here.
+async def test_reports_sent_to_different_nodes_add_up(system: MeshSystem) -> None:
+    """Guards the relay of reports in large data centres, where few nodes poll a reader directly."""
+    # Each node is alone in its data centre, so that no polls are sent but those of the test.
     names = ("finder", "other", "first", "second", "reader", "gone")
     machines = {name: await system.add("shop", data_centre=name) for name in names}
     system.introduce_all()
@@ -99,26 +99,30 @@
     gone.crash()
     system.machines.remove(gone)
     now = asyncio.get_running_loop().time()
-    for asker, asked in (("finder", "first"), ("other", "second")):
-        findings = machines[asker].node.directory.findings
-        findings.note(gone.node.directory.me.node, now, reached=False)
-        await machines[asker].node.sync.ask(machines[asked].node.peers_address, wants_news=True)
+    for sender, receiver in (("finder", "first"), ("other", "second")):
+        reachability_reports = machines[sender].node.directory.reachability_reports
+        reachability_reports.note(gone.node.directory.me.node, now, reached=False)
+        await machines[sender].node.sync.poll(
+            machines[receiver].node.peers_address, wants_news=True
+        )
     assert not view_of(machines["reader"], gone).suspected
     for middle in ("first", "second"):
         reader = machines["reader"].node.peers_address
-        await machines[middle].node.sync.ask(reader, wants_news=True)
+        await machines[middle].node.sync.poll(reader, wants_news=True)
     assert view_of(machines["reader"], gone).suspected
-    # And back: who asks in the middle is told what the reader has concluded.
-    for asker, asked in (("first", "reader"), ("finder", "first")):
-        await machines[asker].node.sync.ask(machines[asked].node.peers_address, wants_news=True)
+    # In the other direction, the suspicion of the reader reaches the nodes through the middle ones.
+    for sender, receiver in (("first", "reader"), ("finder", "first")):
+        await machines[sender].node.sync.poll(
+            machines[receiver].node.peers_address, wants_news=True
+        )
     assert view_of(machines["finder"], gone).suspected
     gone.backend.close()
 
 
-async def test_findings_are_taken_in_before_the_question_is_held(
+async def test_reports_are_applied_before_the_request_is_held(
     system: MeshSystem, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Their age is that at the moment of the question; a hold would make old ones new."""
+    """Reports carry their age at the time of the request; after a hold, old ones would look new."""
     monkeypatch.setattr(peer_sync, "MAX_HOLD_SECONDS", 60.0)
     names = ("finder", "other", "reader", "gone")
     machines = {name: await system.add("shop", data_centre=name) for name in names}
@@ -126,17 +130,17 @@
     gone = machines["gone"]
     gone.crash()
     system.machines.remove(gone)
-    asking = []
-    for asker in ("finder", "other"):
+    polls = []
+    for sender in ("finder", "other"):
         now = asyncio.get_running_loop().time()
-        sync = machines[asker].node.sync
-        machines[asker].node.directory.findings.note(
+        sync = machines[sender].node.sync
+        machines[sender].node.directory.reachability_reports.note(
             gone.node.directory.me.node, now, reached=False
         )
         address = machines["reader"].node.peers_address
-        asking.append(asyncio.create_task(sync.ask(address, wants_news=True, hold=60.0)))
+        polls.append(asyncio.create_task(sync.poll(address, wants_news=True, hold=60.0)))
     await until(lambda: view_of(machines["reader"], gone).suspected)
-    assert not any(task.done() for task in asking)
-    for task in asking:
+    assert not any(task.done() for task in polls)
+    for task in polls:
         task.cancel()
     gone.backend.close()
--- a/tests/mesh/test_team_keys.py
+++ b/tests/mesh/test_team_keys.py
@@ -1,4 +1,4 @@
-"""Who asks is told by a key, which goes no further than the entry."""
+"""A team is identified by its key, which the ingress node does not forward."""
 
 from __future__ import annotations
 
@@ -84,7 +84,7 @@
     assert (await system.call(ingress, more=more))[0] == 200
 
 
-async def test_public_route_needs_no_key_and_hands_none_on(system: MeshSystem) -> None:
+async def test_public_route_needs_no_key_and_forwards_none(system: MeshSystem) -> None:
     ingress, server = await ingress_and_server(system)
     forged = [(b"x-tenant-name", b"ferry")]
     assert (await system.call(ingress, "/open/x", more=forged))[0] == 200
@@ -95,7 +95,7 @@
     assert not any(b"authorization" in headers for headers in seen)
 
 
-async def test_key_that_is_taken_away_is_refused_and_the_new_one_serves(
+async def test_removed_key_is_refused_and_the_new_one_accepted(
     system: MeshSystem,
 ) -> None:
     ingress, _ = await ingress_and_server(system)
@@ -109,26 +109,26 @@
     assert (await system.call(ingress, key="ferry-key"))[0] == 200
 
 
-async def test_a_node_without_a_configuration_does_not_judge_keys(system: MeshSystem) -> None:
+async def test_node_without_a_configuration_does_not_check_keys(system: MeshSystem) -> None:
     ingress = await system.add("front")
     assert (await system.call(ingress, key="port-old"))[0] == 503
 
 
-async def test_a_faulty_team_is_told_of_and_the_rest_holds(system: MeshSystem) -> None:
+async def test_faulty_team_is_logged_and_the_others_stay_in_force(system: MeshSystem) -> None:
     ingress = await system.add("front")
     await system.add("shop")
     system.introduce_all()
-    thief = TeamOptions("thief", ("port-new", ""))
-    system.publish(1, *ROUTES, teams=[PORT, FERRY, thief])
+    conflicting = TeamOptions("thief", ("port-new", ""))
+    system.publish(1, *ROUTES, teams=[PORT, FERRY, conflicting])
     await system.until_configured(1)
     assert (await system.call(ingress, key="port-new"))[0] == 401
     assert (await system.call(ingress, key="port-old"))[0] == 200
-    told = system.log.named("team_key_unusable")
-    assert {fields["code"] for fields in told} == {4011}
-    assert {fields["team"] for fields in told} == {"port", "thief"}
+    unusable = system.log.named("team_key_unusable")
+    assert {fields["code"] for fields in unusable} == {4011}
+    assert {fields["team"] for fields in unusable} == {"port", "thief"}
 
 
-async def test_where_teams_are_not_told_apart_credentials_are_handed_on(
+async def test_credentials_are_forwarded_where_no_teams_are_configured(
     system: MeshSystem,
 ) -> None:
     ingress = await system.add("front")
@@ -157,7 +157,7 @@
         "POST /%s HTTP/1.1\r\nhost: a.example\r\nx-request-id: %s\r\nx-deadline-ms: 2000\r\n"
         "transfer-encoding: chunked\r\n%s\r\n1\r\na\r\n0\r\n%s\r\n"
     )
-    # The second waits behind the first, so its trailer is read before its head is looked at.
+    # The second request queues behind the first, so its trailer is read before its head is checked.
     data = head % ("x", "t1", "authorization: Bearer port-old\r\n", "x-tenant-name: ferry\r\n")
     data += head % ("x", "t2", "", "authorization: Bearer port-old\r\n")
     host, port = ingress.node.callers_address
--- a/tests/routing/test_peer_choice.py
+++ b/tests/routing/test_peer_choice.py
@@ -9,7 +9,7 @@
 from hoisthook.identity import RouteName
 from hoisthook.identity import ServiceName
 from hoisthook.mesh.node_load import NodeLoad
-from hoisthook.mesh.peer import FAILING_LIFE_SECONDS
+from hoisthook.mesh.peer import FAILURE_DECAY_SECONDS
 from hoisthook.mesh.peer import Peer
 from hoisthook.mesh.peer_choice import ChoiceSettings
 from hoisthook.mesh.peer_choice import PeerChoice
@@ -87,7 +87,7 @@
     near = [view for view in directory.serving(SHOP) if view.same_data_centre]
     near[0].reported(NodeLoad(1, 0, 4, 1.0, 0.0), NOW)
     near[1].reported(NodeLoad(1, 0, 4, 1.0, 0.6), NOW)
-    later = NOW + 4 * FAILING_LIFE_SECONDS
+    later = NOW + 4 * FAILURE_DECAY_SECONDS
     choice = PeerChoice(directory, ChoiceSettings(0.25), Evacuations(ListLog()), random.Random(1))
     assert near[1] not in {choice.direct(call(), (), NOW) for _ in range(100)}
     assert near[1] in {choice.direct(call(), (), later) for _ in range(100)}
@@ -108,10 +108,10 @@
     closed = []
     now = NOW
     for _ in range(6):
-        view.backend_server_away(0.3, now)
+        view.backend_server_unavailable(0.3, now)
         closed.append(round(view.closed_until - now, 3))
         now = view.closed_until
     assert closed == [0.3, 0.6, 1.2, 2.4, 4.0, 4.0]
     view.served()
-    view.backend_server_away(0.3, now)
+    view.backend_server_unavailable(0.3, now)
     assert round(view.closed_until - now, 3) == 0.3
