--- a/src/hoisthook/mesh/mesh_node.py
+++ b/src/hoisthook/mesh/mesh_node.py
@@ -246,7 +246,7 @@
             task.cancel()
         self._callers.abort()
         self._peers.abort()
-        self._close_connections()
+        self._close_components()
 
     async def close(self) -> bool:
         """Shut down gracefully: withdraw readiness, then stop admission, then close connections.
@@ -276,11 +276,11 @@
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        self._close_connections()
+        self._close_components()
         self._log.event("stopped", whole=all(are_complete))
         return all(are_complete)
 
-    def _close_connections(self) -> None:
+    def _close_components(self) -> None:
         self._stalls.close()
         self.crashes.close()
         self._quotas.close()
--- a/src/hoisthook/mesh/peer.py
+++ b/src/hoisthook/mesh/peer.py
@@ -19,9 +19,9 @@
 # Time constant with which a load report loses weight: load shifts every few hundred milliseconds.
 REPORT_DECAY_SECONDS = 0.3
 # Time constant with which a reported failure rate loses weight. A node avoided for its failures
-# sends no new report, so without the decay it would be avoided for good: after the calls of a
-# service had failed for 8 s, 88 % of its requests still went to other data centres 8 s later,
-# because the last reports of the local nodes dated from the failure.
+# sends no new report, so without the decay it would be avoided for good: 8 s after the end of a
+# failure of 8 s in the calls that a service makes, 88 % of its requests still went to other data
+# centres, because the last reports of the local nodes dated from the failure.
 FAILURE_DECAY_SECONDS = 3.0
 # Assumed where no report is known or the last one has lost its weight.
 DEFAULT_SLOWDOWN = 1.5
@@ -29,8 +29,8 @@
 # A load report received within this time overrides the reachability reports of others, which are
 # up to two polling intervals old.
 OWN_REPORT_PRECEDENCE_SECONDS = 1.5
-# For this time after a node was unresponsive, it is sent the rest of a request only once it has
-# asked for it.
+# For this time after a node was unresponsive, the end of each request to it is held back until the
+# node asks for it.
 HOLD_BACK_SECONDS = 10.0
 FIRST_BACKOFF_SECONDS = 0.25
 MAX_BACKOFF_SECONDS = 4.0
@@ -63,9 +63,10 @@
 class PeerView:
     """A peer with its last load report and the requests that this node has in flight there.
 
-    A peer that could not be reached is suspected: requests go to others until a probe, a connection
-    that no request waits for, succeeds. Without it, each request that tried an instance removed
-    for good waited 100 ms for its connection: 760 of 2,500 requests in 20 s at 33 nodes.
+    A peer that could not be reached is suspected: requests go to others until a probe succeeds,
+    which is a connection that no request waits for. Without suspicion, each request to an instance
+    that had been removed for good waited 100 ms for its connection: 760 of 2,500 requests in 20 s
+    at 33 nodes.
 
     Parameters
     ----------
@@ -147,12 +148,13 @@
         self._unresponsive_at = now
 
     def may_be_unresponsive(self, now: float) -> bool:
-        """Return whether to hold back the rest of a request until the peer asks for it.
+        """Return whether to hold back the end of a request until the peer asks for it.
 
         Load pattern: nodes pause one after another, or packets get lost. A request given up at an
         unresponsive node may arrive there after another node has executed it. A node that was
-        unresponsive is likely to be so again; a request whose rest it has not asked for cannot run
-        there and can be sent elsewhere without risk, at the cost of one more round trip.
+        unresponsive is likely to be so again. While it has not asked for the end of a request, the
+        request cannot run there and can be sent elsewhere without risk. This costs one more round
+        trip.
         """
         return now - self._unresponsive_at < HOLD_BACK_SECONDS
 
--- a/src/hoisthook/mesh/peer_sync.py
+++ b/src/hoisthook/mesh/peer_sync.py
@@ -191,7 +191,7 @@
         return self._configuration.version
 
     def note_peer_version(self, address: Address, configuration: int) -> None:
-        """Record a peer's configuration version; fetch it unless the store delivers it soon."""
+        """Fetch a newer configuration from a peer, unless the store delivers it soon."""
         if configuration <= self.version:
             return
         if self._fetching is None or self._fetching.done():
--- a/tests/mesh/test_configuration_watch.py
+++ b/tests/mesh/test_configuration_watch.py
@@ -52,7 +52,7 @@
     )
 
 
-async def test_older_version_is_not_taken(system: MeshSystem) -> None:
+async def test_older_version_is_not_applied(system: MeshSystem) -> None:
     machine = await system.add("shop")
     system.publish(5, RouteOptions("shop"))
     await system.until_configured(5)
@@ -138,7 +138,7 @@
     await asyncio.wait_for(system.until_configured(1), 3.0)
 
 
-async def test_node_behind_a_peer_asks_it_although_the_store_seems_well(
+async def test_node_behind_a_peer_polls_it_although_the_store_seems_available(
     system: MeshSystem,
 ) -> None:
     ahead = await system.add("front")
--- a/tests/mesh/test_store_era.py
+++ b/tests/mesh/test_store_era.py
@@ -146,7 +146,7 @@
     assert system.store.calls.count("log-append") == before
 
 
-async def test_a_list_in_pages_is_of_one_history(
+async def test_paged_list_does_not_mix_eras(
     system: MeshSystem, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against mixing pages if the store regresses between two pages of one list."""
--- a/tests/mesh/test_store_readers.py
+++ b/tests/mesh/test_store_readers.py
@@ -54,7 +54,7 @@
     assert system.store.calls.count("log-read") - before <= READERS
 
 
-async def test_others_take_the_place_of_readers_that_are_gone(system: MeshSystem) -> None:
+async def test_unreachable_readers_are_replaced(system: MeshSystem) -> None:
     readers, others = await one_data_centre(system)
     await settled(system)
     for machine in readers:
@@ -67,7 +67,7 @@
         machine.backend.close()
 
 
-async def test_nodes_of_another_data_centre_are_not_asked(system: MeshSystem) -> None:
+async def test_nodes_of_another_data_centre_are_not_polled(system: MeshSystem) -> None:
     await one_data_centre(system)
     far = await system.add("shop", data_centre="two")
     system.introduce_all()
--- a/tests/mesh/test_team_keys.py
+++ b/tests/mesh/test_team_keys.py
@@ -140,7 +140,7 @@
     assert b"authorization" in server.backend.arrivals[-1].headers
 
 
-async def test_no_line_holds_a_key(system: MeshSystem) -> None:
+async def test_no_log_line_contains_a_key(system: MeshSystem) -> None:
     ingress, _ = await ingress_and_server(system)
     await system.call(ingress, key="port-old")
     await system.call(ingress, key="a-key-of-nobody")
