--- a/src/hoisthook/mesh/quota_exchange.py
+++ b/src/hoisthook/mesh/quota_exchange.py
@@ -35,8 +35,8 @@
 # is asked.
 CONNECT_SECONDS = 0.1
 ANSWER_SECONDS = 0.15
-_QUESTION = msgspec.msgpack.Decoder(QuotaQuestion)
-_ANSWER = msgspec.msgpack.Decoder(QuotaAnswer)
+_REQUEST_DECODER = msgspec.msgpack.Decoder(QuotaQuestion)
+_ANSWER_DECODER = msgspec.msgpack.Decoder(QuotaAnswer)
 
 
 class QuotaExchange:
@@ -128,7 +128,7 @@
 
     async def serve(self, exchange: ServerExchange) -> None:
         """Answer another node's quota request."""
-        message = await read_message(exchange, _QUESTION.decode, "quota question", self._log)
+        message = await read_message(exchange, _REQUEST_DECODER.decode, "quota question", self._log)
         if message is None:
             return
         self.refresh()
@@ -137,7 +137,7 @@
 
     def _decode_answer(self, data: bytes) -> QuotaAnswer | None:
         try:
-            return _ANSWER.decode(data)
+            return _ANSWER_DECODER.decode(data)
         except msgspec.DecodeError as error:
             log_unreadable(self._log, "quota answer", str(error))
             return None
