--- a/src/hoisthook/mesh/configuration_watch.py
+++ b/src/hoisthook/mesh/configuration_watch.py
@@ -9,7 +9,7 @@
 from hoisthook.membership.store_era import revision_at
 from hoisthook.result_code import ResultCode
 from hoisthook.traffic.configuration_holder import ConfigurationSource
-from hoisthook.traffic.evacuation_reading import EvacuationReading
+from hoisthook.traffic.evacuation_tracker import EvacuationTracker
 
 if TYPE_CHECKING:
     from hoisthook.membership.store_era import StoreEra
@@ -122,7 +122,7 @@
         self._holder = holder
         self._evacuations = evacuations
         # Evacuations as of `_offset` of the log, as read by this node itself.
-        self._evacuation_reading = EvacuationReading(evacuation_prefix)
+        self._evacuation_reading = EvacuationTracker(evacuation_prefix)
         self._is_reread_due = False
         self._era = era
         self._lease = lease
@@ -238,7 +238,7 @@
 
     async def _read_once(self) -> bool:
         """Read or wait once; return whether there were records."""
-        if self._is_reread_due and not self._evacuation_reading.is_doubted(self._clock.now()):
+        if self._is_reread_due and not self._evacuation_reading.is_provisional(self._clock.now()):
             self._is_reread_due = False
             self._offset = None
         offset = self._offset
@@ -246,7 +246,7 @@
         if offset is None:
             page = await self._store.newest(self._topic)
             self._check_era(page)
-            self._evacuation_reading.take_list(page.records, self._clock.now())
+            self._evacuation_reading.apply_listing(page.records, self._clock.now())
         else:
             later_page = await self._store.changes(self._topic, offset, self._wait_seconds())
             if later_page is None:
@@ -260,10 +260,10 @@
             if self._offset is None:
                 # The era has changed, so the requested offset belongs to another history.
                 return False
-            self._evacuation_reading.take_changes(page.records)
+            self._evacuation_reading.apply_changes(page.records)
         self._offset = page.end
         has_records = self._apply(page)
-        if self._lease.is_bound and not self._has_unreadable_configuration(page):
+        if self._lease.is_limited and not self._has_unreadable_configuration(page):
             self._lease.confirmed(started_at)
         return has_records
 
--- a/src/hoisthook/mesh/crash_records.py
+++ b/src/hoisthook/mesh/crash_records.py
@@ -11,7 +11,7 @@
 from hoisthook.background_tasks import BackgroundTasks
 from hoisthook.exceptions import StoreUnavailableError
 from hoisthook.port.record_store import KeyedRecord
-from hoisthook.retry.crash_evidence import LIFE_SECONDS
+from hoisthook.retry.crash_evidence import EVIDENCE_TTL_SECONDS
 from hoisthook.retry.crash_evidence import CrashReport
 
 if TYPE_CHECKING:
@@ -93,7 +93,7 @@
         self._write_tasks = BackgroundTasks()
         # Records that this node maintains in the store.
         self._persisted_by_key: dict[str, KeyedRecord] = {}
-        evidence.on_refused(self._on_refused)
+        evidence.on_rejected(self._on_refused)
 
     def close(self) -> None:
         """Cancel writes in progress."""
@@ -120,7 +120,7 @@
             self._write_tasks.start(self._write(record))
 
     def _on_refused(self, service: ServiceName, work: WorkId) -> None:
-        if not self._crash_monitor.has_blamed(work):
+        if not self._crash_monitor.has_crashed_under(work):
             return
         reports = list(self._evidence.reports_of(service, work, self._clock.now()))
         value = msgspec.json.encode(CrashRecord(self._wall(), reports))
@@ -136,13 +136,13 @@
         """
         self._persisted_by_key[record.key] = record
         await self._write(record)
-        while (remaining := self._evidence.refused_for(service, work, self._clock.now())) > 0:
+        while (remaining := self._evidence.rejected_for(service, work, self._clock.now())) > 0:
             await asyncio.sleep(remaining)
         del self._persisted_by_key[record.key]
         await self._write(KeyedRecord(record.key, b""))
 
     async def _write(self, record: KeyedRecord) -> None:
-        until = self._clock.now() + LIFE_SECONDS
+        until = self._clock.now() + EVIDENCE_TTL_SECONDS
         while self._clock.now() < until:
             try:
                 await self._store.put(self._topic, record)
--- a/src/hoisthook/mesh/peer_sync.py
+++ b/src/hoisthook/mesh/peer_sync.py
@@ -290,7 +290,7 @@
         position = self._position_by_address.get(address, _SyncPosition())
         # Only polls that ask for changed nodes go to readers, which collect these reports.
         reachability_reports = (
-            directory.reachability_reports.tell(self._clock.now()) if wants_news else []
+            directory.reachability_reports.take_due(self._clock.now()) if wants_news else []
         )
         return SyncRequest(
             directory.me,
--- a/src/hoisthook/mesh/quota_exchange.py
+++ b/src/hoisthook/mesh/quota_exchange.py
@@ -13,8 +13,8 @@
 from hoisthook.mesh.team_quotas import QUOTA_PATH
 from hoisthook.node.call import Lost
 from hoisthook.teams.quota_coordinator import QuotaCoordinator
-from hoisthook.teams.quota_messages import QuotaAnswer
-from hoisthook.teams.quota_messages import QuotaQuestion
+from hoisthook.teams.quota_messages import QuotaReply
+from hoisthook.teams.quota_messages import QuotaRequest
 from hoisthook.teams.quota_owners import QuotaOwners
 
 if TYPE_CHECKING:
@@ -35,8 +35,8 @@
 # is asked.
 CONNECT_SECONDS = 0.1
 ANSWER_SECONDS = 0.15
-_REQUEST_DECODER = msgspec.msgpack.Decoder(QuotaQuestion)
-_ANSWER_DECODER = msgspec.msgpack.Decoder(QuotaAnswer)
+_REQUEST_DECODER = msgspec.msgpack.Decoder(QuotaRequest)
+_ANSWER_DECODER = msgspec.msgpack.Decoder(QuotaReply)
 
 
 class QuotaExchange:
@@ -82,7 +82,7 @@
         self._local_addresses = frozenset(
             v.address for v in directory.others() if v.same_data_centre
         )
-        self.quota_coordinator.knows(QuotaOwners(directory.views()))
+        self.quota_coordinator.set_owners(QuotaOwners(directory.views()))
 
     def close(self) -> None:
         """Cancel quota requests in progress."""
@@ -101,9 +101,9 @@
         """Record that a message from another node arrived."""
         self.refresh()
         if address in self._local_addresses:
-            self.quota_coordinator.heard()
+            self.quota_coordinator.peer_contacted()
 
-    async def ask(self, quota_peer: QuotaPeer, question: QuotaQuestion) -> QuotaAnswer | None:
+    async def query_peer(self, quota_peer: QuotaPeer, question: QuotaRequest) -> QuotaReply | None:
         """Send a quota request; return the answer, or None if there is none."""
         try:
             connection = await self._pool.acquire(quota_peer.address, CONNECT_SECONDS)
@@ -135,7 +135,7 @@
         answer = await self.quota_coordinator.answer(message)
         exchange.respond(200, [], msgspec.msgpack.encode(answer))
 
-    def _decode_answer(self, data: bytes) -> QuotaAnswer | None:
+    def _decode_answer(self, data: bytes) -> QuotaReply | None:
         try:
             return _ANSWER_DECODER.decode(data)
         except msgspec.DecodeError as error:
--- a/src/hoisthook/node/node.py
+++ b/src/hoisthook/node/node.py
@@ -262,7 +262,7 @@
         self.follower.on_contact = self.guard.contacted
         self.follower.on_change = self._configuration_changed
         self.gossip.configuration_offset = lambda: self.state.offset
-        self.gossip.on_peer_offset = self.follower.peer_offset
+        self.gossip.on_peer_offset = self.follower.fetch_from_peer
         self._configuration_writer = ConfigurationWriter(self.state, self.follower, self._log)
 
     def _make_path(self) -> None:
@@ -271,7 +271,7 @@
         self._crashes = CrashGuard(
             self._backend_pool, self.incarnation, self._clock, self._decisions
         )
-        self._crashes.on_reported(lambda: self._announcing.start(self.gossip.announce()))
+        self._crashes.on_crash_attributed(lambda: self._announcing.start(self.gossip.announce()))
         self.gossip.crashes = self._crashes.evidence
         self.local_backend = LocalBackend(
             self._backend_pool,
@@ -409,7 +409,7 @@
             self.register.expire()
             self._hop_pool.drop_idle()
             self._backend_pool.drop_idle()
-            self._router.forget_gone()
+            self._router.drop_removed()
             self._dispatcher.forget(set(self.state.service_by_name))
 
     async def _publish_forever(self) -> None:
--- a/tests/mesh/test_crash_notifier.py
+++ b/tests/mesh/test_crash_notifier.py
@@ -131,7 +131,7 @@
     assert reloaded.apply(KeyedRecord(key, value))
     while store.value_by_key[key]:
         await asyncio.wait([asyncio.ensure_future(store.written.wait())])
-    assert another.refused_for(SHOP, WORK, clock.now()) == 0.0
+    assert another.rejected_for(SHOP, WORK, clock.now()) == 0.0
     records.close()
 
 
@@ -168,7 +168,7 @@
 ) -> None:
     informed, other = await two_machines(system)
     await informed.node.sync.poll(other.node.peers_address, wants_news=True)
-    assert not other.node.crashes.evidence.suspects(SHOP)
+    assert not other.node.crashes.evidence.has_evidence(SHOP)
     await informed.node.sync.poll(other.node.peers_address, wants_news=True)
     assert other.node.crashes.evidence.digest(SHOP) == informed.node.crashes.evidence.digest(SHOP)
 
