--- a/src/hoisthook/mesh/routed_dispatcher.py
+++ b/src/hoisthook/mesh/routed_dispatcher.py
@@ -253,4 +253,4 @@
         return
     outcome = current_try.result()
     if isinstance(outcome, PendingOutcome):
-        outcome.heard.cancel()
+        outcome.outcome_task.cancel()
--- a/src/hoisthook/mesh/routed_progress.py
+++ b/src/hoisthook/mesh/routed_progress.py
@@ -107,7 +107,7 @@
             return
         self.excluded.add(node)
         if isinstance(outcome, PendingOutcome):
-            self.pending_outcomes[outcome.heard] = node
+            self.pending_outcomes[outcome.outcome_task] = node
             if self.call.arrival is Arrival.FIRST:
                 self.call.arrival = Arrival.UNHEARD
             self._limit_tries(now)
--- a/tests/mesh/test_leaving.py
+++ b/tests/mesh/test_leaving.py
@@ -29,7 +29,7 @@
 from standin.published_configuration import RouteOptions
 
 if TYPE_CHECKING:
-    from hoisthook.local_backend.repeat_limit import Try
+    from hoisthook.local_backend.repeat_limit import ArrivingRequest
     from standin.mesh_system import Machine
     from standin.mesh_system import MeshSystem
 
@@ -37,7 +37,7 @@
 @pytest.fixture(autouse=True)
 def short_linger(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(mesh_node, "LINGER_SECONDS", 0.2)
-    monkeypatch.setattr(mesh_node, "LEAVING_SECONDS", 0.0)
+    monkeypatch.setattr(mesh_node, "ADMIT_WHILE_LEAVING_SECONDS", 0.0)
 
 
 async def ingress_and_shops(system: MeshSystem, count: int, *, safe: bool = True) -> list[Machine]:
@@ -72,7 +72,7 @@
 async def test_leaving_node_runs_requests_that_no_other_can_start(
     system: MeshSystem, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(mesh_node, "LEAVING_SECONDS", 0.2)
+    monkeypatch.setattr(mesh_node, "ADMIT_WHILE_LEAVING_SECONDS", 0.2)
     ingress, first, second = await ingress_and_shops(system, 2)
     closing = asyncio.create_task(first.node.close())
     await asyncio.sleep(0)
@@ -140,7 +140,7 @@
     far.backend.fault = Fault.RESET
     refuse = RepeatLimit.refuse
 
-    def refuse_second(limit: RepeatLimit, call: Try) -> Refused | None:
+    def refuse_second(limit: RepeatLimit, call: ArrivingRequest) -> Refused | None:
         # The first try is lost; the server of the second one sheds it, and no third try is made.
         if call.arrival.is_repeat:
             near.backend.fault = far.backend.fault = Fault.SHED
--- a/tests/routing/test_peer_choice.py
+++ b/tests/routing/test_peer_choice.py
@@ -9,7 +9,7 @@
 from hoisthook.identity import RouteName
 from hoisthook.identity import ServiceName
 from hoisthook.mesh.node_load import NodeLoad
-from hoisthook.mesh.peer import FAILING_LIFE_SECONDS
+from hoisthook.mesh.peer import FAILURE_DECAY_SECONDS
 from hoisthook.mesh.peer import Peer
 from hoisthook.mesh.peer_choice import ChoiceSettings
 from hoisthook.mesh.peer_choice import PeerChoice
@@ -25,11 +25,16 @@
 def fleet(near: int, far: int) -> PeerDirectory:
     me = Peer(NodeId("me"), "127.0.0.1:1", ServiceName("front"), DataCentre("one"))
     directory = PeerDirectory(me, ListLog())
-    places = ["one"] * near + ["two"] * far
+    data_centres = ["one"] * near + ["two"] * far
     directory.merge(
         [
-            Peer(NodeId(f"{place}-{number}"), f"127.0.0.1:{number + 2}", SHOP, DataCentre(place))
-            for number, place in enumerate(places)
+            Peer(
+                NodeId(f"{data_centre}-{number}"),
+                f"127.0.0.1:{number + 2}",
+                SHOP,
+                DataCentre(data_centre),
+            )
+            for number, data_centre in enumerate(data_centres)
         ],
         "test",
     )
@@ -55,25 +60,25 @@
     )
 
 
-def chosen(directory: PeerDirectory, now: float = NOW) -> Counter[str]:
+def choices_by_data_centre(directory: PeerDirectory, now: float = NOW) -> Counter[str]:
     choice = PeerChoice(directory, ChoiceSettings(0.25), Evacuations(ListLog()), random.Random(1))
     views = [choice.direct(call(), (), now) for _ in range(200)]
     return Counter(view.peer.data_centre for view in views if view is not None)
 
 
-def report_failing(directory: PeerDirectory, place: str, share: float) -> None:
+def report_failing(directory: PeerDirectory, data_centre: str, share: float) -> None:
     for view in directory.serving(SHOP):
-        if view.peer.data_centre == place:
+        if view.peer.data_centre == data_centre:
             view.reported(NodeLoad(1, 0, 4, 1.0, share), NOW - 1.0)
 
 
-def test_near_servers_are_kept_where_all_that_are_known_fail_alike() -> None:
+def test_near_servers_are_preferred_if_all_known_servers_fail_alike() -> None:
     directory = fleet(near=6, far=20)
     report_failing(directory, "one", 0.4)
-    assert set(chosen(directory)) == {"one"}
+    assert set(choices_by_data_centre(directory)) == {"one"}
 
 
-def test_server_that_fails_more_than_the_others_is_left() -> None:
+def test_server_that_fails_more_than_the_others_is_avoided() -> None:
     directory = fleet(near=3, far=3)
     report_failing(directory, "one", 0.0)
     worst = next(iter(directory.serving(SHOP)))
@@ -82,18 +87,18 @@
     assert all(choice.direct(call(), (), NOW) is not worst for _ in range(100))
 
 
-def test_failures_of_long_ago_do_not_keep_a_server_from_being_asked_again() -> None:
+def test_old_failures_do_not_exclude_a_server() -> None:
     directory = fleet(near=2, far=6)
     near = [view for view in directory.serving(SHOP) if view.same_data_centre]
     near[0].reported(NodeLoad(1, 0, 4, 1.0, 0.0), NOW)
     near[1].reported(NodeLoad(1, 0, 4, 1.0, 0.6), NOW)
-    later = NOW + 4 * FAILING_LIFE_SECONDS
+    later = NOW + 4 * FAILURE_DECAY_SECONDS
     choice = PeerChoice(directory, ChoiceSettings(0.25), Evacuations(ListLog()), random.Random(1))
     assert near[1] not in {choice.direct(call(), (), NOW) for _ in range(100)}
     assert near[1] in {choice.direct(call(), (), later) for _ in range(100)}
 
 
-def test_suspected_node_is_probed_no_oftener_than_it_would_be_chosen() -> None:
+def test_suspected_node_is_probed_no_more_often_than_it_would_be_chosen() -> None:
     directory = fleet(near=9, far=1)
     suspect = next(iter(directory.serving(SHOP)))
     suspect.unreachable(NOW - 10.0)
@@ -103,15 +108,15 @@
     assert all(choice.direct(call(), (), NOW) is not suspect for _ in range(100))
 
 
-def test_node_without_a_backend_server_is_asked_less_and_less_until_it_serves() -> None:
+def test_node_without_a_backend_server_is_tried_with_growing_pauses() -> None:
     view = next(iter(fleet(near=1, far=0).serving(SHOP)))
     closed = []
     now = NOW
     for _ in range(6):
-        view.backend_server_away(0.3, now)
+        view.backend_server_unavailable(0.3, now)
         closed.append(round(view.closed_until - now, 3))
         now = view.closed_until
     assert closed == [0.3, 0.6, 1.2, 2.4, 4.0, 4.0]
     view.served()
-    view.backend_server_away(0.3, now)
+    view.backend_server_unavailable(0.3, now)
     assert round(view.closed_until - now, 3) == 0.3
