--- a/src/hoisthook/node/__init__.py
+++ b/src/hoisthook/node/__init__.py
@@ -1,3 +1,3 @@
-"""The node's composition and its call path."""
+"""The node process and the path of a call through it."""
 
 from __future__ import annotations
--- a/src/hoisthook/node/answer.py
+++ b/src/hoisthook/node/answer.py
@@ -1,4 +1,4 @@
-"""An answer on its way back to a caller."""
+"""An answer of a backend server while it is streamed back to a caller."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 class Answer:
-    """A backend server's answer: its head, its body as it comes, and its end.
+    """A backend server's answer: its head, and its body as a stream.
 
     Parameters
     ----------
     head : AnswerHead
         Status and headers.
     body : BodyStream
-        Ends whole or broken.
+        Ends complete or broken.
     ran_by : str
         Id of the backend server.
     finish : callable
-        Called once, with whether the answer was read to its end.
+        Called once, with whether the body was read completely.
     """
 
     __slots__ = ("_finish", "body", "head", "ran_by")
@@ -36,9 +36,9 @@
         self.ran_by = ran_by
         self._finish: Callable[[bool], None] | None = finish
 
-    def finish(self, *, whole: bool) -> None:
-        """Give back what the answer holds; not whole drops its connection."""
+    def finish(self, *, fully_read: bool) -> None:
+        """Release the connection and slot; the connection is dropped unless fully read."""
         if self._finish is not None:
             finish = self._finish
             self._finish = None
-            finish(whole)
+            finish(fully_read)
--- a/src/hoisthook/node/attempt.py
+++ b/src/hoisthook/node/attempt.py
@@ -1,4 +1,4 @@
-"""One try of a call, which can be given up on from outside."""
+"""One attempt of a call, which can be abandoned from outside."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class Attempt:
-    """A try under way.
+    """An attempt in progress.
 
     Parameters
     ----------
     number : int
-        Unique within the node's incarnation, rising.
+        Unique within the node's incarnation, increasing.
     may_wait : bool
         Whether the backend server's queue may be used.
     hedge : bool
-        Whether another try of the same call is under way.
+        Whether it was started while another attempt of the same call was in progress.
     """
 
     __slots__ = ("_on_abandon", "abandoned", "hedge", "may_wait", "number")
@@ -31,11 +31,11 @@
         self._on_abandon: Callable[[], None] | None = None
 
     def on_abandon(self, callback: Callable[[], None] | None) -> None:
-        """Set what giving up does now."""
+        """Set the callback that `abandon` calls, or None for none."""
         self._on_abandon = callback
 
     def abandon(self) -> None:
-        """Give up: drop the connection or leave the queue, whichever it is at."""
+        """Abandon the attempt: drop its connection or leave the queue it waits in."""
         if self.abandoned:
             return
         self.abandoned = True
--- a/src/hoisthook/node/call.py
+++ b/src/hoisthook/node/call.py
@@ -21,32 +21,32 @@
 
 @dataclass(slots=True)
 class Call:
-    """One request, parsed and checked.
+    """One request, parsed and validated.
 
     Attributes
     ----------
     request_id : RequestId
-        For logs; handed down.
+        For logs; forwarded with each attempt.
     spec : ServiceSpec
         The service's limits.
     caller : CallerId
-        Whose share it counts against.
+        Whose share of the slots it counts against.
     method, target : bytes
         As the caller sent them.
     headers : list of Header
-        End to end, without hoisthook's own.
+        End-to-end headers, without hoisthook's own.
     body : bytes
-        What is there of the body; all of it if ``rest`` is None.
+        The buffered part of the body; all of it if ``rest`` is None.
     rest : BodyStream or None
-        What follows, readable once.
+        The remainder of the body, which can be read only once.
     received : float
-        When the node took it up, on the node's clock.
+        When the node received it, in seconds on the node's clock.
     deadline : float
-        When its answer is of no use any more.
+        When the call expires, in seconds on the node's clock.
     repeatable : bool
-        Whether the service says that it may run more than once.
+        Whether the service's configuration allows it to run more than once.
     under_hedge : bool
-        Whether it comes from a hedge further up, and so is not hedged again.
+        Whether a hedge of a parent request caused it; it is not hedged again then.
     """
 
     request_id: RequestId
@@ -69,12 +69,12 @@
 
     @property
     def is_complete(self) -> bool:
-        """Return whether all of the body is here."""
+        """Return whether the body is buffered completely."""
         return self.rest is None
 
     @property
     def work(self) -> WorkId:
-        """Return what it asks for; the same whenever and under whatever id it comes."""
+        """Return the id of its work, which does not depend on the request id or the time."""
         return identify(self.method, self.headers, self.target, self.body)
 
 
@@ -85,9 +85,9 @@
     Attributes
     ----------
     code : ResultCode
-        Why.
+        The reason.
     retry_after : float
-        Seconds after which to come back.
+        Seconds to wait before a retry.
     """
 
     code: ResultCode
@@ -96,19 +96,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Lost:
-    """Whether the request was run cannot be known.
+    """It cannot be known whether the request was run.
 
     Attributes
     ----------
     code : ResultCode
         What happened.
     admitted : bool
-        Whether the node beside the backend server may have begun to run it: false where that
-        node was silent, or its connection broke, before it had said that it does. It can have
-        run only if that word was on its way.
+        Whether the target node may have admitted it: false where that node stayed unresponsive,
+        or its connection broke, before it had confirmed the admission. The request can then
+        have run only if the confirmation was still in transit.
     is_silent : bool
-        Whether that node was silent on a connection that held, so that it may still begin to run
-        it: it may have been paused, or the request be on its way.
+        Whether the target node was unresponsive on an open connection, so that it may still
+        begin to run the request: the node may be paused, or the request in transit.
     """
 
     code: ResultCode
--- a/src/hoisthook/node/crash_guard.py
+++ b/src/hoisthook/node/crash_guard.py
@@ -1,4 +1,4 @@
-"""Lives and ends of the backend server beside, and the work that is refused for them."""
+"""Restarts and crashes of the local backend server, and the refusal of work that causes them."""
 
 from __future__ import annotations
 
@@ -24,26 +24,26 @@
 
 
 class CrashGuard:
-    """Holds ends of the backend server beside against the calls that ran in it.
+    """Attributes crashes of the local backend server to the calls that ran in it.
 
-    Backend servers announce no id of their lives here, only for how long they have run: one that
-    has run for less than before has been started again.
+    Backend servers announce no incarnation here, only their uptime: a shorter uptime than in the
+    previous announcement means that the backend server has been restarted.
 
     Parameters
     ----------
     pool : ClientPool
         Connections to the backend server.
     incarnation : Incarnation
-        Of this node, in the names of the lives that it sees.
+        Of this node; part of the ids that it gives to the backend server's incarnations.
     clock : Clock
         Monotonic.
     log : EventSink
-        Gets a line for each end and for work that is refused.
+        Receives an event for each crash and for refused work.
 
     Attributes
     ----------
     evidence : CrashEvidence
-        What all nodes know.
+        The crash evidence that all nodes share.
     """
 
     def __init__(
@@ -59,46 +59,46 @@
         self._incarnation = incarnation
         self._address: Address = ("", 0)
         self._takes_work = False
-        self._life = 0
+        self._restarts = 0
         self._uptime = 0.0
 
     @property
     def instance(self) -> InstanceId:
-        """Return the name of the present life of the backend server."""
-        return InstanceId(f"{self._incarnation}/{self._life}")
+        """Return the id of the backend server's current incarnation."""
+        return InstanceId(f"{self._incarnation}/{self._restarts}")
 
     def on_reported(self, listener: Callable[[], None]) -> None:
-        """Have ``listener`` called once an end has been held against work."""
+        """Have ``listener`` called whenever a crash has been attributed to work."""
         self._crash_monitor.on_reported(listener)
 
     def close(self) -> None:
-        """Stop what is under way."""
+        """Stop the checks in progress."""
         self._exit_detector.close()
 
     def announced(self, service: str, address: Address, uptime: float, *, takes_work: bool) -> None:
-        """Take in an announcement of the backend server."""
+        """Apply an announcement of the backend server."""
         self._crash_monitor.service = ServiceName(service)
         self._address = address
         if uptime < self._uptime:
             self._exit_detector.replaced()
-            self._life += 1
+            self._restarts += 1
         self._uptime = uptime
         self._takes_work = takes_work
 
     def refuse(self, call: Call) -> Refused | None:
-        """Refuse a call for work under which several backend servers ended."""
+        """Return a refusal if several backend servers have crashed while running this work."""
         return self._crash_monitor.refuse(call)
 
     def lost(self, call: Call, instance: InstanceId) -> None:
-        """Take in that the connection broke while a call ran."""
+        """Record that the connection broke while a call ran."""
         self._exit_detector.broken(
             LostRequest(call.request_id, call.work, instance, self._clock.now())
         )
 
     def answered(self, instance: InstanceId, sent_at: float) -> None:
-        """Take in that a life answered what was sent to it at some moment."""
+        """Record that an incarnation answered a request that was sent to it at ``sent_at``."""
         self._exit_detector.answered(instance, sent_at)
 
-    def ran_well(self, call: Call) -> None:
-        """Take in that a call has run to a good end."""
+    def succeeded(self, call: Call) -> None:
+        """Record that a call has succeeded."""
         self._crash_monitor.ran_well(call)
--- a/src/hoisthook/node/dispatch_progress.py
+++ b/src/hoisthook/node/dispatch_progress.py
@@ -1,4 +1,4 @@
-"""What the tries of one call have shown so far."""
+"""The results of the attempts of one call so far."""
 
 from __future__ import annotations
 
@@ -14,49 +14,49 @@
 if TYPE_CHECKING:
     from hoisthook.node.local_backend import RunResult
 
-DIRECT_TRIES = 2
-_OWN_WORD = frozenset({ResultCode.CALLER_OVER_SHARE, ResultCode.DEADLINE_PASSED})
+DIRECT_ATTEMPTS = 2
+_CALL_SPECIFIC_CODES = frozenset({ResultCode.CALLER_OVER_SHARE, ResultCode.DEADLINE_PASSED})
 
 
 @dataclass(slots=True)
 class DispatchProgress:
-    """Collects refusals and losses, and draws the conclusion for the caller.
+    """Collects the failed attempts of a call and resolves the result for the caller.
 
     Attributes
     ----------
     tried : set of str
-        Nodes that a try was sent to.
+        Nodes that an attempt was sent to.
     lost : Lost or None
-        A try whose outcome is unknown; from then on "not run" cannot be said.
-    full : bool
-        Whether a refusal was for want of slots.
-    soonest : float
-        The shortest time after which a refusal said to come back, in seconds.
+        An attempt whose outcome is unknown; the call cannot be reported as not run after it.
+    slots_full : bool
+        Whether an attempt was refused because all slots were in use.
+    min_retry_after : float
+        The shortest retry delay that a refusal gave, in seconds.
     """
 
     tried: set[str] = field(default_factory=set)
     lost: Lost | None = None
-    full: bool = False
-    soonest: float = float("inf")
+    slots_full: bool = False
+    min_retry_after: float = float("inf")
 
     @property
     def should_wait(self) -> bool:
-        """Return whether the next try may use a queue."""
-        return self.full and len(self.tried) >= DIRECT_TRIES
+        """Return whether the next attempt may use a queue."""
+        return self.slots_full and len(self.tried) >= DIRECT_ATTEMPTS
 
     def refused(self, refused: Refused) -> None:
-        """Take in a refusal."""
-        self.soonest = min(self.soonest, refused.retry_after)
-        self.full = self.full or refused.code is ResultCode.SLOTS_FULL
+        """Record a refusal."""
+        self.min_retry_after = min(self.min_retry_after, refused.retry_after)
+        self.slots_full = self.slots_full or refused.code is ResultCode.SLOTS_FULL
 
-    def conclude(self, last: RunResult) -> RunResult:
-        """Return what is known after the last try."""
+    def resolve(self, last: RunResult) -> RunResult:
+        """Return the result for the caller after the last attempt."""
         if isinstance(last, Answer):
             return last
         if self.lost is not None or isinstance(last, Lost):
             return self.lost or last
-        if self.soonest == float("inf") or last.code is ResultCode.WORK_ENDS_SERVERS:
+        if self.min_retry_after == float("inf") or last.code is ResultCode.WORK_ENDS_SERVERS:
             return last
-        if self.full and last.code not in _OWN_WORD:
-            return Refused(ResultCode.OVERLOADED, self.soonest)
-        return Refused(last.code, self.soonest)
+        if self.slots_full and last.code not in _CALL_SPECIFIC_CODES:
+            return Refused(ResultCode.OVERLOADED, self.min_retry_after)
+        return Refused(last.code, self.min_retry_after)
--- a/src/hoisthook/node/dispatcher.py
+++ b/src/hoisthook/node/dispatcher.py
@@ -1,4 +1,4 @@
-"""Tries, retries and hedges of one call."""
+"""Attempts, retries and hedges of calls."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     from hoisthook.routing.candidate import Candidate
     from hoisthook.routing.router import Router
 
-MAX_TRIES = 6
+MAX_ATTEMPTS = 6
 NO_BACKEND_SERVER_RETRY_SECONDS = 0.5
 CLOSING_CODES = frozenset(
     {
@@ -47,18 +47,18 @@
 
 @dataclass(slots=True)
 class Dispatched:
-    """What became of a call.
+    """The outcome of a call.
 
     Attributes
     ----------
     result : Answer, Refused or Lost
-        The last word.
+        The final result.
     attempts : int
-        How many tries were sent, hedges included.
+        The number of attempts, including hedges.
     node : str
-        The node that the last try went to.
+        The node that the last attempt went to.
     reason : str
-        Why the last try was made.
+        Why the last attempt was made.
     """
 
     result: RunResult
@@ -67,8 +67,8 @@
     reason: str
 
 
-class ServiceEffort:
-    """Retry budget and hedge timer of one service at this entry."""
+class ServiceRetryState:
+    """Retry budget and hedge timer of one service at this ingress node."""
 
     def __init__(self, percent: float) -> None:
         self.budget = RetryBudget(percent)
@@ -76,25 +76,25 @@
 
 
 class Dispatcher:
-    """Finds a backend server that runs a call, within deadline and budgets.
+    """Sends a call to backend servers until one runs it, within its deadline and budgets.
 
     A refusal costs the refusing backend server nothing, so the next one is tried
-    at once; when those tried are full, the call waits beside the one with the
-    shortest queue. A lost answer is tried again only if the call is repeatable
-    and the budget allows.
+    at once; when those tried are full, the call waits at the one with the shortest
+    queue. A call whose answer was lost is retried only if it is repeatable and the
+    retry budget allows it.
 
     Parameters
     ----------
     router : Router
-        Chooses.
+        Chooses the backend server of each attempt.
     client : HopClient
-        Sends.
+        Runs the attempts.
     table : MemberTable
-        Told of nodes that cannot be reached.
+        Notified of nodes that cannot be reached.
     clock : Clock
         Monotonic.
     hedging : bool
-        False for baselines.
+        False for baseline policies, which never hedge.
     """
 
     def __init__(
@@ -111,115 +111,131 @@
         self._table = table
         self._clock = clock
         self._hedging = hedging
-        self._numbers = 0
-        self.effort_by_service: dict[str, ServiceEffort] = {}
+        self._last_attempt_number = 0
+        self.retry_state_by_service: dict[str, ServiceRetryState] = {}
 
     async def dispatch(self, call: Call) -> Dispatched:
-        """Run the call somewhere, or say what is known of it."""
-        effort = self._effort(call)
-        effort.budget.call()
-        none = Refused(ResultCode.NO_BACKEND_SERVER, NO_BACKEND_SERVER_RETRY_SECONDS)
-        done = Dispatched(none, 0, "", "first")
+        """Run the call at a backend server and return its outcome."""
+        retry_state = self._retry_state(call)
+        retry_state.budget.call()
+        no_backend_server = Refused(ResultCode.NO_BACKEND_SERVER, NO_BACKEND_SERVER_RETRY_SECONDS)
+        dispatched = Dispatched(no_backend_server, 0, "", "first")
         progress = DispatchProgress()
-        while done.attempts < MAX_TRIES:
-            candidate, waits = self._next(call, progress)
+        while dispatched.attempts < MAX_ATTEMPTS:
+            candidate, may_wait = self._next_candidate(call, progress)
             if candidate is None:
                 break
-            done.node = candidate.member.node
-            done.result = await self._try(candidate, call, effort, done, may_wait=waits)
+            dispatched.node = candidate.member.node
+            dispatched.result = await self._run_attempt(
+                candidate, call, retry_state, dispatched, may_wait=may_wait
+            )
             progress.tried.add(candidate.member.node)
-            if not self._goes_on(call, effort, done, progress, waited=waits):
+            if not self._should_continue(call, retry_state, dispatched, progress, waited=may_wait):
                 break
-        done.result = progress.conclude(done.result)
-        return done
+        dispatched.result = progress.resolve(dispatched.result)
+        return dispatched
 
     def forget(self, services: set[str]) -> None:
-        """Drop budgets of services that are configured no more."""
-        for name in set(self.effort_by_service) - services:
-            del self.effort_by_service[name]
+        """Drop the retry states of services that are no longer configured."""
+        for name in set(self.retry_state_by_service) - services:
+            del self.retry_state_by_service[name]
 
-    def _next(self, call: Call, progress: DispatchProgress) -> tuple[Candidate | None, bool]:
-        """Return whom to try next, and whether the call may wait there."""
+    def _next_candidate(
+        self, call: Call, progress: DispatchProgress
+    ) -> tuple[Candidate | None, bool]:
+        """Return the next candidate, and whether the call may wait there."""
         now = self._clock.now()
         service = call.spec.name
         if now >= call.deadline:
             return None, False
         if not progress.should_wait:
             candidate = self._router.choose(service, progress.tried, now)
-            if candidate is not None or not progress.full:
+            if candidate is not None or not progress.slots_full:
                 return candidate, False
         return self._router.least_waiting(service, now), True
 
-    def _goes_on(
+    def _should_continue(
         self,
         call: Call,
-        effort: ServiceEffort,
-        done: Dispatched,
+        retry_state: ServiceRetryState,
+        dispatched: Dispatched,
         progress: DispatchProgress,
         *,
         waited: bool,
     ) -> bool:
-        """Return whether another try makes sense after the last one."""
-        result = done.result
+        """Return whether to make another attempt after the last one."""
+        result = dispatched.result
         if isinstance(result, Answer) or not call.replayable:
             return False
         if isinstance(result, Lost):
             progress.lost = result
-            done.reason = result.code.name
-            return self._may_repeat(call, effort)
+            dispatched.reason = result.code.name
+            return self._may_retry(call, retry_state)
         progress.refused(result)
-        done.reason = result.code.name
+        dispatched.reason = result.code.name
         return not waited and result.code not in FINAL_CODES
 
-    async def _try(
+    async def _run_attempt(
         self,
         candidate: Candidate,
         call: Call,
-        effort: ServiceEffort,
-        done: Dispatched,
+        retry_state: ServiceRetryState,
+        dispatched: Dispatched,
         *,
         may_wait: bool,
     ) -> RunResult:
-        attempt = self._attempt(may_wait=may_wait)
-        done.attempts += 1
+        attempt = self._new_attempt(may_wait=may_wait)
+        dispatched.attempts += 1
         started = self._clock.now()
         if not self._may_hedge(call):
             result = await self._client.run(candidate, call, attempt)
         else:
-            race = HedgeRace(lambda: self._start_hedge(candidate, call, effort, done))
+            race = HedgeRace(lambda: self._start_hedge(candidate, call, retry_state, dispatched))
             result = await race.run(
-                self._client.run(candidate, call, attempt), attempt, effort.timer.delay
+                self._client.run(candidate, call, attempt), attempt, retry_state.timer.delay
             )
         if isinstance(result, Answer):
-            effort.timer.answered(self._clock.now() - started)
+            retry_state.timer.answered(self._clock.now() - started)
         elif isinstance(result, Refused):
-            self._learn_refusal(candidate, result)
+            self._record_refusal(candidate, result)
         return result
 
     def _start_hedge(
-        self, candidate: Candidate, call: Call, effort: ServiceEffort, done: Dispatched
+        self,
+        candidate: Candidate,
+        call: Call,
+        retry_state: ServiceRetryState,
+        dispatched: Dispatched,
     ) -> tuple[Attempt, Coroutine[object, object, RunResult]] | None:
         now = self._clock.now()
-        other = self._router.choose(call.spec.name, {candidate.member.node}, now)
-        if other is None or other.view.closed_until > now or not effort.budget.take():
+        hedge_candidate = self._router.choose(call.spec.name, {candidate.member.node}, now)
+        if (
+            hedge_candidate is None
+            or hedge_candidate.view.closed_until > now
+            or not retry_state.budget.take()
+        ):
             return None
-        attempt = self._attempt(may_wait=True, hedge=True)
-        done.attempts += 1
-        done.reason = "hedged"
-        return attempt, self._run_hedge(other, call, attempt, effort)
+        attempt = self._new_attempt(may_wait=True, hedge=True)
+        dispatched.attempts += 1
+        dispatched.reason = "hedged"
+        return attempt, self._run_hedge(hedge_candidate, call, attempt, retry_state)
 
     async def _run_hedge(
-        self, other: Candidate, call: Call, attempt: Attempt, effort: ServiceEffort
+        self,
+        hedge_candidate: Candidate,
+        call: Call,
+        attempt: Attempt,
+        retry_state: ServiceRetryState,
     ) -> RunResult:
-        result = await self._client.run(other, call, attempt)
+        result = await self._client.run(hedge_candidate, call, attempt)
         if isinstance(result, Refused):
-            effort.budget.give_back()
-            self._learn_refusal(other, result)
+            retry_state.budget.give_back()
+            self._record_refusal(hedge_candidate, result)
         return result
 
-    def _attempt(self, *, may_wait: bool, hedge: bool = False) -> Attempt:
-        self._numbers += 1
-        return Attempt(self._numbers, may_wait=may_wait, hedge=hedge)
+    def _new_attempt(self, *, may_wait: bool, hedge: bool = False) -> Attempt:
+        self._last_attempt_number += 1
+        return Attempt(self._last_attempt_number, may_wait=may_wait, hedge=hedge)
 
     def _may_hedge(self, call: Call) -> bool:
         return (
@@ -230,12 +246,12 @@
             and not call.under_hedge
         )
 
-    def _may_repeat(self, call: Call, effort: ServiceEffort) -> bool:
+    def _may_retry(self, call: Call, retry_state: ServiceRetryState) -> bool:
         if not call.repeatable or self._clock.now() >= call.deadline:
             return False
-        return effort.budget.take()
+        return retry_state.budget.take()
 
-    def _learn_refusal(self, candidate: Candidate, refused: Refused) -> None:
+    def _record_refusal(self, candidate: Candidate, refused: Refused) -> None:
         if refused.code not in CLOSING_CODES:
             return
         now = self._clock.now()
@@ -243,10 +259,10 @@
         if refused.code is ResultCode.UNREACHABLE and not candidate.local:
             self._table.suspect(candidate.member, now)
 
-    def _effort(self, call: Call) -> ServiceEffort:
-        effort = self.effort_by_service.get(call.spec.name)
-        if effort is None:
-            effort = ServiceEffort(call.spec.retry_percent)
-            self.effort_by_service[call.spec.name] = effort
-        effort.budget.percent = call.spec.retry_percent
-        return effort
+    def _retry_state(self, call: Call) -> ServiceRetryState:
+        retry_state = self.retry_state_by_service.get(call.spec.name)
+        if retry_state is None:
+            retry_state = ServiceRetryState(call.spec.retry_percent)
+            self.retry_state_by_service[call.spec.name] = retry_state
+        retry_state.budget.percent = call.spec.retry_percent
+        return retry_state
--- a/src/hoisthook/node/exchanger.py
+++ b/src/hoisthook/node/exchanger.py
@@ -1,4 +1,4 @@
-"""Sends a request over a pooled connection and awaits the answer's head."""
+"""Sends a request over a pooled connection and waits for the head of the answer."""
 
 from __future__ import annotations
 
@@ -24,43 +24,43 @@
 
 
 class Exchanger:
-    """One request on one connection, from its first byte to the answer's head.
+    """One request on one connection, from its first byte to the head of its answer.
 
-    Nothing is ever sent twice here: a connection that drops gives `Lost`.
+    The request is never resent here: a connection that drops gives `Lost`.
 
     Parameters
     ----------
     call : Call
-        What to send.
+        The call to send.
     headers : list of Header
-        What to send instead of the call's own headers.
+        Headers to send in place of the call's own.
     """
 
     def __init__(self, call: Call, headers: list[Header]) -> None:
         self._call = call
         self._headers = headers
-        self._pump: asyncio.Task[None] | None = None
+        self._body_sender: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
 
     async def send(
         self, connection: ClientConnection, attempt: Attempt, now: float
     ) -> AnswerHead | Lost:
-        """Send the call and return the answer's head.
+        """Send the call and return the head of the answer.
 
-        The deadline's timer goes on until `stop`, so that it cuts a body that
-        comes too late as well.
+        The deadline timer runs until `stop`, so that it also closes the connection
+        of an answer whose body is still being read at the deadline.
         """
         call = self._call
         loop = asyncio.get_running_loop()
         self._timer = loop.call_later(max(0.0, call.deadline - now), connection.close)
         attempt.on_abandon(connection.close)
         head = encode_request_head(call.method, call.target, self._framed_headers())
-        first = self._frame(call.body) if call.body else b""
+        first_bytes = self._frame(call.body) if call.body else b""
         if call.rest is None and self._chunked:
-            first += b"0\r\n\r\n"
-        waiter = connection.send(head + first, bodyless_answer=call.method == b"HEAD")
+            first_bytes += b"0\r\n\r\n"
+        waiter = connection.send(head + first_bytes, bodyless_answer=call.method == b"HEAD")
         if call.rest is not None:
-            self._pump = loop.create_task(self._send_rest(connection, call.rest))
+            self._body_sender = loop.create_task(self._send_rest(connection, call.rest))
         try:
             return await waiter
         except BrokenExchangeError:
@@ -72,17 +72,17 @@
             raise
 
     def stop(self) -> None:
-        """Stop the deadline's timer and what still sends the body."""
+        """Stop the deadline timer and the task that sends the rest of the body."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        if self._pump is not None:
-            self._pump.cancel()
-            self._pump = None
+        if self._body_sender is not None:
+            self._body_sender.cancel()
+            self._body_sender = None
 
     @property
     def _chunked(self) -> bool:
-        return self._call.rest is not None and self._stated_length() is None
+        return self._call.rest is not None and self._declared_length() is None
 
     def _framed_headers(self) -> list[Header]:
         call = self._call
@@ -91,14 +91,14 @@
             if call.body or call.method not in _BODYLESS_METHODS:
                 headers.append((b"content-length", b"%d" % len(call.body)))
             return headers
-        length = self._stated_length()
+        length = self._declared_length()
         if length is None:
             headers.append((b"transfer-encoding", b"chunked"))
         else:
             headers.append((b"content-length", length))
         return headers
 
-    def _stated_length(self) -> bytes | None:
+    def _declared_length(self) -> bytes | None:
         return first_value(self._call.headers, b"content-length")
 
     def _frame(self, data: bytes) -> bytes:
--- a/src/hoisthook/node/hedge_race.py
+++ b/src/hoisthook/node/hedge_race.py
@@ -1,4 +1,4 @@
-"""A first try and, if it is late, a second one beside it."""
+"""The first attempt of a call and, if it takes too long, a hedge."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 
 
 class HedgeRace:
-    """Runs a try in the caller's task and starts a hedge only when the delay is over.
+    """Runs the first attempt in the caller's task and starts a hedge after a delay.
 
-    The first answer wins; the other try is given up on, which drops its
+    The first answer wins; the other attempt is abandoned, which drops its
     connection and so cancels it at the backend server.
 
     Parameters
     ----------
     start_hedge : callable
-        Returns the second try, or None where the budget or the choice denies it.
+        Returns the hedge, or None if the budget is spent or no other candidate is available.
     """
 
     def __init__(self, start_hedge: StartHedge) -> None:
@@ -36,38 +36,38 @@
         self._second: Attempt | None = None
         self._task: asyncio.Task[RunResult] | None = None
         self._winner: Answer | None = None
-        self._over = False
+        self._finished = False
 
     async def run(
         self, first_run: Coroutine[object, object, RunResult], first: Attempt, delay: float
     ) -> RunResult:
-        """Return the first answer, or the worse of two failures.
+        """Return the first answer, or, if both attempts fail, a `Lost` before a refusal.
 
         Parameters
         ----------
         first_run : coroutine
-            The first try.
+            Runs the first attempt.
         first : Attempt
-            Its handle.
+            The first attempt.
         delay : float
-            Seconds before the second try.
+            Seconds before the hedge starts.
         """
         self._first = first
-        timer = asyncio.get_running_loop().call_later(delay, self._launch)
+        timer = asyncio.get_running_loop().call_later(delay, self._start_second)
         try:
             result = await first_run
-            return await self._settle(result)
+            return await self._choose_result(result)
         finally:
-            self._over = True
+            self._finished = True
             timer.cancel()
-            self._give_up_second()
+            self._abandon_second()
 
-    async def _settle(self, result: RunResult) -> RunResult:
-        # The first try is over; its connection may carry another request by now.
+    async def _choose_result(self, result: RunResult) -> RunResult:
+        # The first attempt has finished; its connection may already carry another request.
         self._first = None
         if self._winner is not None:
             if isinstance(result, Answer):
-                result.finish(whole=False)
+                result.finish(fully_read=False)
             winner = self._winner
             self._winner = None
             return winner
@@ -79,13 +79,13 @@
             return second
         return second if isinstance(second, Lost) else result
 
-    def _launch(self) -> None:
-        if self._over:
+    def _start_second(self) -> None:
+        if self._finished:
             return
-        started = self._start_hedge()
-        if started is None:
+        hedge = self._start_hedge()
+        if hedge is None:
             return
-        self._second, run = started
+        self._second, run = hedge
         self._task = asyncio.get_running_loop().create_task(run)
         self._task.add_done_callback(self._second_done)
 
@@ -95,16 +95,16 @@
         result = task.result()
         if not isinstance(result, Answer):
             return
-        if self._over:
-            result.finish(whole=False)
+        if self._finished:
+            result.finish(fully_read=False)
             return
         self._winner = result
         if self._first is not None:
             self._first.abandon()
 
-    def _give_up_second(self) -> None:
+    def _abandon_second(self) -> None:
         if self._winner is not None:
-            self._winner.finish(whole=False)
+            self._winner.finish(fully_read=False)
             self._winner = None
         if self._task is not None and not self._task.done():
             self._task.cancel()
--- a/src/hoisthook/node/hop_client.py
+++ b/src/hoisthook/node/hop_client.py
@@ -1,4 +1,4 @@
-"""Sends attempts to the node beside a chosen backend server."""
+"""Sends attempts to the node of the chosen backend server."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
 CONNECT_SECONDS = 0.25
 UNREACHABLE_RETRY_SECONDS = 0.25
 DEFAULT_RETRY_SECONDS = 0.05
-LOST_SECONDS = 0.25
+LOST_BACKOFF_SECONDS = 0.25
 
 
 class HopClient:
-    """Runs an attempt at a candidate: in this process if it is beside, else one hop away.
+    """Runs an attempt at a candidate: in this process if it is local, else over one hop.
 
     Parameters
     ----------
@@ -46,7 +46,7 @@
     local_backend : LocalBackend
         This node's own backend server.
     clock : Clock
-        Monotonic, the loop's own.
+        Monotonic; the event loop's clock.
     incarnation : Incarnation
         This node's.
     """
@@ -60,15 +60,15 @@
         self._incarnation = incarnation
 
     async def run(self, candidate: Candidate, call: Call, attempt: Attempt) -> RunResult:
-        """Run the attempt and learn from what comes back."""
+        """Run the attempt and update the candidate's load view with the result."""
         view = candidate.view
         view.sent()
-        ended = False
+        released = False
 
-        def end() -> None:
-            nonlocal ended
-            if not ended:
-                ended = True
+        def release() -> None:
+            nonlocal released
+            if not released:
+                released = True
                 view.ended()
 
         try:
@@ -78,12 +78,12 @@
             else:
                 result = await self._run_remote(candidate, call, attempt)
         except BaseException:
-            end()
+            release()
             raise
         if not isinstance(result, Answer):
-            end()
+            release()
             return result
-        return _ending_with(result, end)
+        return _releasing_when_finished(result, release)
 
     async def _run_remote(self, candidate: Candidate, call: Call, attempt: Attempt) -> RunResult:
         connection = self._pool.take_idle(candidate.address)
@@ -102,7 +102,7 @@
             if self._clock.now() >= call.deadline:
                 return Lost(ResultCode.DEADLINE_DURING_RUN)
             if not attempt.abandoned:
-                candidate.view.close_until(self._clock.now() + LOST_SECONDS)
+                candidate.view.close_until(self._clock.now() + LOST_BACKOFF_SECONDS)
             return head
         return self._read_head(candidate, connection, exchanger, head, sent)
 
@@ -136,46 +136,46 @@
         sent: float,
     ) -> RunResult:
         now = self._clock.now()
-        said: dict[bytes, bytes] = {
+        own_headers: dict[bytes, bytes] = {
             name: value for name, value in head.headers if name.startswith(wire.OWN_PREFIX)
         }
-        report = LoadReport.decode(said.get(wire.LOAD, b""))
+        report = LoadReport.decode(own_headers.get(wire.LOAD, b""))
         if report is not None:
             candidate.view.reported(report, now)
 
-        def finish(whole: bool) -> None:
+        def finish(fully_read: bool) -> None:
             exchanger.stop()
-            if whole:
+            if fully_read:
                 self._pool.keep(candidate.address, connection)
             else:
                 connection.close()
 
-        result = said.get(wire.RESULT)
+        result = own_headers.get(wire.RESULT)
         if result is not None:
-            finish(whole=connection.body.complete)
-            return _failure(result, said)
-        inside = said.get(wire.INSIDE_MICROS, b"")
-        if inside.isdigit():
-            candidate.view.took(now - sent, int(inside) / 1e6)
-        ran_by = said.get(wire.RAN_BY, b"").decode("latin-1")
+            finish(fully_read=connection.body.complete)
+            return _failure(result, own_headers)
+        node_micros = own_headers.get(wire.INSIDE_MICROS, b"")
+        if node_micros.isdigit():
+            candidate.view.took(now - sent, int(node_micros) / 1e6)
+        ran_by = own_headers.get(wire.RAN_BY, b"").decode("latin-1")
         return Answer(head, connection.body, ran_by, finish)
 
 
-def _failure(result: bytes, said: dict[bytes, bytes]) -> Refused | Lost:
+def _failure(result: bytes, own_headers: dict[bytes, bytes]) -> Refused | Lost:
     number = result.split(b" ", 1)[0]
     code = BY_NUMBER.get(int(number)) if number.isdigit() else None
     if code is None:
         return Lost(ResultCode.ANSWER_LOST)
     if code.ran is not Ran.NOT_RUN:
         return Lost(code)
-    retry_after = said.get(wire.RETRY_AFTER_MS, b"")
+    retry_after = own_headers.get(wire.RETRY_AFTER_MS, b"")
     seconds = int(retry_after) / 1000.0 if retry_after.isdigit() else DEFAULT_RETRY_SECONDS
     return Refused(code, seconds)
 
 
-def _ending_with(answer: Answer, end: Callable[[], None]) -> Answer:
-    def finish(whole: bool) -> None:
-        answer.finish(whole=whole)
-        end()
+def _releasing_when_finished(answer: Answer, release: Callable[[], None]) -> Answer:
+    def finish(fully_read: bool) -> None:
+        answer.finish(fully_read=fully_read)
+        release()
 
     return Answer(answer.head, answer.body, answer.ran_by, finish)
--- a/src/hoisthook/node/hop_server.py
+++ b/src/hoisthook/node/hop_server.py
@@ -1,4 +1,4 @@
-"""Serves attempts that entries send to the backend server beside this node."""
+"""Serves attempts that ingress nodes send to the local backend server."""
 
 from __future__ import annotations
 
@@ -36,22 +36,22 @@
 
 
 class HopServer:
-    """Checks an attempt, runs it beside, and streams the answer back.
+    """Checks an attempt, runs it at the local backend server, and streams the answer back.
 
     Parameters
     ----------
     local_backend : LocalBackend
-        The backend server's side.
+        Runs the attempts.
     configuration : ConfigurationState
-        The services' limits.
+        The limits of the services.
     guard : PauseGuard
-        Tells whether this node was paused.
+        Detects that this node was paused.
     clock : Clock
-        Monotonic, the loop's own.
+        Monotonic; the event loop's clock.
     incarnation : Incarnation
-        This node's; attempts meant for another are refused.
+        This node's; attempts addressed to another are refused.
     log : DecisionLog
-        Gets a line for each refusal.
+        Receives a line for each refusal.
     """
 
     def __init__(
@@ -78,9 +78,9 @@
         Parameters
         ----------
         exchange : ServerExchange
-            The entry's request.
+            The request of the ingress node.
         value : bytes
-            Its attempt header.
+            The value of its attempt header.
         """
         received = self._clock.now()
         header = wire.AttemptHeader.decode(value)
@@ -91,12 +91,12 @@
         if refused is not None:
             self._refuse(exchange, refused)
             return
-        call = await self._call(exchange, header, received)
+        call = await self._read_call(exchange, header, received)
         if isinstance(call, Refused):
             self._refuse(exchange, call)
             return
         attempt = Attempt(header.number, may_wait=header.may_wait, hedge=header.hedge)
-        await self._answer(exchange, call, await self._local_backend.run(call, attempt))
+        await self._respond(exchange, call, await self._local_backend.run(call, attempt))
 
     def _refuse_early(self, header: wire.AttemptHeader, now: float) -> Refused | None:
         if self._guard.check(now):
@@ -109,15 +109,17 @@
             return None
         return Refused(ResultCode.ATTEMPT_REPLAYED, 0.0)
 
-    async def _call(
+    async def _read_call(
         self, exchange: ServerExchange, header: wire.AttemptHeader, received: float
     ) -> Call | Refused:
-        own: dict[bytes, bytes] = {}
+        own_headers: dict[bytes, bytes] = {}
         for name, value in exchange.head.headers:
             if name.startswith(wire.OWN_PREFIX):
-                own[name] = value
-        spec = self._configuration.service_by_name.get(own.get(wire.SERVICE, b"").decode("latin-1"))
-        timeout = wire.parse_timeout_ms(own.get(wire.TIMEOUT_MS, b""))
+                own_headers[name] = value
+        spec = self._configuration.service_by_name.get(
+            own_headers.get(wire.SERVICE, b"").decode("latin-1")
+        )
+        timeout = wire.parse_timeout_ms(own_headers.get(wire.TIMEOUT_MS, b""))
         if spec is None:
             return Refused(ResultCode.CONFIGURATION_MISSING, RESUMING_RETRY_SECONDS)
         if timeout is None:
@@ -127,9 +129,9 @@
         except BrokenExchangeError:
             return Refused(ResultCode.REQUEST_MALFORMED, 0.0)
         return Call(
-            request_id=RequestId(own.get(wire.REQUEST_ID, b"").decode("latin-1")),
+            request_id=RequestId(own_headers.get(wire.REQUEST_ID, b"").decode("latin-1")),
             spec=spec,
-            caller=CallerId(own.get(wire.CALLER, b"").decode("latin-1")),
+            caller=CallerId(own_headers.get(wire.CALLER, b"").decode("latin-1")),
             method=exchange.head.method,
             target=exchange.head.target,
             headers=wire.without_own(end_to_end(exchange.head.headers)),
@@ -140,7 +142,7 @@
             repeatable=header.repeatable,
         )
 
-    async def _answer(
+    async def _respond(
         self, exchange: ServerExchange, call: Call, result: Answer | Refused | Lost
     ) -> None:
         if isinstance(result, Refused):
@@ -150,11 +152,11 @@
         if isinstance(result, Lost):
             refuse(exchange, result.code, extra=[self._load()])
             return
-        inside = int((self._clock.now() - call.received) * 1e6)
+        node_micros = int((self._clock.now() - call.received) * 1e6)
         headers: list[Header] = answer_headers(result)
         headers.append(self._load())
         headers.append((wire.RAN_BY, result.ran_by.encode()))
-        headers.append((wire.INSIDE_MICROS, b"%d" % inside))
+        headers.append((wire.INSIDE_MICROS, b"%d" % node_micros))
         await relay(exchange, result, headers)
 
     def _refuse(self, exchange: ServerExchange, refused: Refused) -> None:
--- a/src/hoisthook/node/idempotency_handler.py
+++ b/src/hoisthook/node/idempotency_handler.py
@@ -1,4 +1,4 @@
-"""Idempotency keys at an entry: issuing, claiming, and asking their holder."""
+"""Idempotency keys at an ingress node: issues and claims keys, forwards calls to key holders."""
 
 from __future__ import annotations
 
@@ -57,23 +57,23 @@
 
 
 class IdempotencyHandler:
-    """Runs non-repeatable calls at most once a key.
+    """Runs non-repeatable calls at most once per idempotency key.
 
-    The incarnation that issued a key is its only holder. Any other node passes
-    the request on to it, and says "unknown" where it is gone.
+    The incarnation that issued a key is its only holder. Any other node forwards
+    the request to it, and answers "unknown" if the holder no longer exists.
 
     Parameters
     ----------
     register : KeyRegister
-        What this incarnation remembers.
+        The keys that this incarnation has issued, and their state.
     configuration : ConfigurationState
-        Tells which services there are.
+        The configured services.
     table : MemberTable
-        Finds holders.
+        Gives the addresses of key holders.
     pool : ClientPool
         Connections to other nodes.
     clock : Clock
-        Monotonic, the loop's own.
+        Monotonic; the event loop's clock.
     """
 
     def __init__(
@@ -90,12 +90,12 @@
         self._pool = pool
         self._clock = clock
 
-    def serve_control(self, exchange: ServerExchange, own: dict[bytes, bytes]) -> None:
+    def serve_control(self, exchange: ServerExchange, own_headers: dict[bytes, bytes]) -> None:
         """Answer a caller's request for a key."""
         if exchange.head.target != KEYS_PATH or exchange.head.method != b"POST":
             refuse(exchange, ResultCode.PATH_RESERVED)
             return
-        service = own.get(wire.SERVICE, b"").decode("latin-1")
+        service = own_headers.get(wire.SERVICE, b"").decode("latin-1")
         if service not in self._configuration.service_by_name:
             refuse(exchange, ResultCode.SERVICE_UNKNOWN)
             return
@@ -113,7 +113,7 @@
         exchange : ServerExchange
             The caller's request.
         call : Call
-            The same, parsed.
+            The same request, parsed.
         key_text : bytes or None
             Its idempotency key.
         dispatch : callable
@@ -127,7 +127,7 @@
             self._deny(exchange, call, ResultCode.KEY_MALFORMED)
             return
         if not self._register.is_mine(key):
-            await self._ask_holder(exchange, call, key)
+            await self._forward_to_holder(exchange, call, key)
             return
         claim = self._register.claim(key, ServiceName(call.spec.name), _fingerprint(call))
         if isinstance(claim, Denied):
@@ -147,14 +147,14 @@
     async def _run_claimed(
         self, exchange: ServerExchange, call: Call, record: KeyRecord, dispatch: Dispatch
     ) -> None:
-        # A repeat may want the answer that this caller does not wait for any more.
+        # A repeat may still need the answer after this caller has disconnected.
         exchange.cancel_on_disconnect = False
         try:
-            done = await dispatch(call)
-            result = done.result
-            attempts: Header = (wire.ATTEMPTS, b"%d" % done.attempts)
+            dispatched = await dispatch(call)
+            result = dispatched.result
+            attempts: Header = (wire.ATTEMPTS, b"%d" % dispatched.attempts)
             if isinstance(result, Answer):
-                await self._relay_and_keep(exchange, record, result, done)
+                await self._relay_and_keep(exchange, record, result, dispatched)
             elif isinstance(result, Refused):
                 self._register.not_run(record)
                 refuse(exchange, result.code, retry_after=result.retry_after, extra=[attempts])
@@ -166,17 +166,17 @@
                 self._register.lost(record)
 
     async def _relay_and_keep(
-        self, exchange: ServerExchange, record: KeyRecord, answer: Answer, done: Dispatched
+        self, exchange: ServerExchange, record: KeyRecord, answer: Answer, dispatched: Dispatched
     ) -> None:
-        own_headers = answer_headers(answer)
-        headers = [*own_headers, *success_headers(answer.ran_by, done.attempts)]
+        forwarded = answer_headers(answer)
+        headers = [*forwarded, *success_headers(answer.ran_by, dispatched.attempts)]
         body = await relay(exchange, answer, headers, keep=True)
         kept = None
         if body is not None:
-            kept = KeptAnswer(answer.head.status, tuple(own_headers), body, answer.ran_by)
+            kept = KeptAnswer(answer.head.status, tuple(forwarded), body, answer.ran_by)
         self._register.answered(record, kept)
 
-    async def _ask_holder(self, exchange: ServerExchange, call: Call, key: Key) -> None:
+    async def _forward_to_holder(self, exchange: ServerExchange, call: Call, key: Key) -> None:
         holder = self._table.get(key.node)
         if holder is None or holder.incarnation != key.incarnation or holder.is_gone:
             self._deny(exchange, call, ResultCode.HOLDER_GONE)
@@ -195,15 +195,15 @@
             return
 
         if head.get(wire.RESULT) is None:
-            # Something else than a node answers at the holder's address now.
+            # Something other than a node answers at the holder's address now.
             exchanger.stop()
             connection.close()
             refuse(exchange, ResultCode.HOLDER_UNREACHABLE, retry_after=HOLDER_RETRY_SECONDS)
             return
 
-        def finish(whole: bool) -> None:
+        def finish(fully_read: bool) -> None:
             exchanger.stop()
-            if whole:
+            if fully_read:
                 self._pool.keep(address, connection)
             else:
                 connection.close()
--- a/src/hoisthook/node/ingress.py
+++ b/src/hoisthook/node/ingress.py
@@ -1,4 +1,4 @@
-"""Takes callers' requests."""
+"""Serves the requests of callers."""
 
 from __future__ import annotations
 
@@ -37,24 +37,24 @@
 
 
 class Ingress:
-    """Checks a request, has it run, and answers with how that came about.
+    """Validates a request, dispatches it, and answers with its result and attempts.
 
     Parameters
     ----------
     dispatcher : Dispatcher
-        Runs calls.
+        Dispatches calls to backend servers.
     keys : IdempotencyHandler
-        Handles idempotency keys.
+        Runs non-repeatable calls and issues idempotency keys.
     configuration : ConfigurationState
-        The services.
+        The configured services.
     guard : PauseGuard
-        Tells whether this node was paused.
+        Detects that this node was paused.
     clock : Clock
-        Monotonic, the loop's own.
+        Monotonic; the event loop's clock.
     incarnation : Incarnation
-        This node's, for request ids.
+        This node's; part of the request ids that it generates.
     log : DecisionLog
-        Gets a line for each call.
+        Receives a line for each call.
     """
 
     def __init__(
@@ -74,29 +74,29 @@
         self._clock = clock
         self._incarnation = incarnation
         self._log = log
-        self._requests = 0
+        self._generated_ids = 0
         self.stopping = False
 
     async def handle(self, exchange: ServerExchange) -> None:
         """Serve one request of a caller."""
         received = self._clock.now()
-        own: dict[bytes, bytes] = {}
+        own_headers: dict[bytes, bytes] = {}
         key: bytes | None = None
         for name, value in exchange.head.headers:
             if name.startswith(wire.OWN_PREFIX):
-                own[name] = value
+                own_headers[name] = value
             elif name == wire.KEY:
                 key = value
-        # Without its record in hand, nothing can be said of earlier sends of a key.
+        # Whether an earlier request with this key ran is unknown until its record is read.
         ran = None if key is None else Ran.UNKNOWN
         refused = self._refuse_early(received)
         if refused is not None:
             refuse(exchange, refused.code, ran=ran, retry_after=refused.retry_after)
             return
         if exchange.head.target.startswith(wire.CONTROL_PREFIX):
-            self._keys.serve_control(exchange, own)
+            self._keys.serve_control(exchange, own_headers)
             return
-        call = await self._call(exchange, own, received)
+        call = await self._read_call(exchange, own_headers, received)
         if isinstance(call, Refused):
             refuse(exchange, call.code, ran=ran, retry_after=call.retry_after)
         elif call.repeatable:
@@ -105,20 +105,20 @@
             await self._keys.run(exchange, call, key, self.dispatch)
 
     async def dispatch(self, call: Call) -> Dispatched:
-        """Run a call and log the decision."""
-        done = await self._dispatcher.dispatch(call)
-        result = done.result
+        """Dispatch a call and log the decision."""
+        dispatched = await self._dispatcher.dispatch(call)
+        result = dispatched.result
         code = ResultCode.OK if isinstance(result, Answer) else result.code
-        self._log.routed(call, done, code, self._clock.now() - call.received)
-        return done
+        self._log.routed(call, dispatched, code, self._clock.now() - call.received)
+        return dispatched
 
     async def _run(self, exchange: ServerExchange, call: Call) -> None:
-        done = await self.dispatch(call)
-        result = done.result
-        attempts = (wire.ATTEMPTS, b"%d" % done.attempts)
+        dispatched = await self.dispatch(call)
+        result = dispatched.result
+        attempts = (wire.ATTEMPTS, b"%d" % dispatched.attempts)
         if isinstance(result, Answer):
             headers = answer_headers(result)
-            headers.extend(success_headers(result.ran_by, done.attempts))
+            headers.extend(success_headers(result.ran_by, dispatched.attempts))
             await relay(exchange, result, headers)
         elif isinstance(result, Refused):
             refuse(exchange, result.code, retry_after=result.retry_after, extra=[attempts])
@@ -134,18 +134,18 @@
             return Refused(ResultCode.CONFIGURATION_MISSING, STOPPING_RETRY_SECONDS)
         return None
 
-    async def _call(
-        self, exchange: ServerExchange, own: dict[bytes, bytes], received: float
+    async def _read_call(
+        self, exchange: ServerExchange, own_headers: dict[bytes, bytes], received: float
     ) -> Call | Refused:
-        name = own.get(wire.SERVICE)
+        name = own_headers.get(wire.SERVICE)
         if name is None:
             return Refused(ResultCode.SERVICE_UNNAMED, 0.0)
         spec = self._configuration.service_by_name.get(name.decode("latin-1"))
         if spec is None:
             return Refused(ResultCode.SERVICE_UNKNOWN, 0.0)
         timeout: float | None = spec.timeout_ms / 1000.0
-        if wire.TIMEOUT_MS in own:
-            timeout = wire.parse_timeout_ms(own[wire.TIMEOUT_MS])
+        if wire.TIMEOUT_MS in own_headers:
+            timeout = wire.parse_timeout_ms(own_headers[wire.TIMEOUT_MS])
         if timeout is None:
             return Refused(ResultCode.TIMEOUT_INVALID, 0.0)
         timeout = min(timeout, spec.timeout_ms / 1000.0)
@@ -156,9 +156,9 @@
         head = exchange.head
         path = head.target.split(b"?", 1)[0].decode("latin-1")
         return Call(
-            request_id=self._request_id(own),
+            request_id=self._request_id(own_headers),
             spec=spec,
-            caller=_caller(exchange, own),
+            caller=_caller(exchange, own_headers),
             method=head.method,
             target=head.target,
             headers=wire.without_own(end_to_end(head.headers)),
@@ -167,19 +167,19 @@
             received=received,
             deadline=received + timeout,
             repeatable=spec.is_repeatable(head.method.decode("latin-1"), path),
-            under_hedge=wire.HEDGE in own,
+            under_hedge=wire.HEDGE in own_headers,
         )
 
-    def _request_id(self, own: dict[bytes, bytes]) -> RequestId:
-        given = own.get(wire.REQUEST_ID)
-        if given is not None and len(given) <= MAX_NAME_BYTES:
-            return RequestId(given.decode("latin-1"))
-        self._requests += 1
-        return RequestId(f"{self._incarnation}-{self._requests:x}")
+    def _request_id(self, own_headers: dict[bytes, bytes]) -> RequestId:
+        sent_by_caller = own_headers.get(wire.REQUEST_ID)
+        if sent_by_caller is not None and len(sent_by_caller) <= MAX_NAME_BYTES:
+            return RequestId(sent_by_caller.decode("latin-1"))
+        self._generated_ids += 1
+        return RequestId(f"{self._incarnation}-{self._generated_ids:x}")
 
 
-def _caller(exchange: ServerExchange, own: dict[bytes, bytes]) -> CallerId:
-    given = own.get(wire.CALLER)
-    if given is not None and len(given) <= MAX_NAME_BYTES:
-        return CallerId(given.decode("latin-1"))
+def _caller(exchange: ServerExchange, own_headers: dict[bytes, bytes]) -> CallerId:
+    sent_by_caller = own_headers.get(wire.CALLER)
+    if sent_by_caller is not None and len(sent_by_caller) <= MAX_NAME_BYTES:
+        return CallerId(sent_by_caller.decode("latin-1"))
     return CallerId(exchange.peer[0])
--- a/src/hoisthook/node/local_backend.py
+++ b/src/hoisthook/node/local_backend.py
@@ -1,4 +1,4 @@
-"""The node's side towards the backend server beside it."""
+"""Admission to the local backend server, and the execution of calls there."""
 
 from __future__ import annotations
 
@@ -43,20 +43,20 @@
 
 
 class LocalBackend:
-    """Admits calls to one backend server and runs them there.
+    """Admits calls to the local backend server and runs them there.
 
     Parameters
     ----------
     pool : ClientPool
         Connections to the backend server.
     crashes : CrashGuard
-        Told of what ran there as it ended, and of what ran well; refuses.
+        Records lost and successful calls, and refuses work that crashes backend servers.
     clock : Clock
-        Monotonic, the loop's own.
+        Monotonic; the event loop's clock.
     randomness : Randomness
-        For the trickle to a server on probation.
+        Decides which calls a backend server on probation gets.
     admission : bool
-        False lets everything through; for comparisons.
+        False admits every call; for comparisons.
     """
 
     def __init__(
@@ -95,16 +95,16 @@
         draining: bool,
         uptime: float = 0.0,
     ) -> bool:
-        """Take in the backend server's announcement.
+        """Apply an announcement of the backend server.
 
         Returns
         -------
         bool
-            False if another backend server announces itself here already.
+            False if another backend server is already announced at this node.
         """
         self.state.tick(self._clock.now())
-        known = self.backend_server
-        if known not in ("", backend_server) and self.state.phase is not Phase.ABSENT:
+        current = self.backend_server
+        if current not in ("", backend_server) and self.state.phase is not Phase.ABSENT:
             return False
         self.backend_server = backend_server
         self.service = service
@@ -112,34 +112,34 @@
         self.gate.slots = slots
         self.draining_announced = draining
         self._uptime = uptime
-        self._announce()
+        self._apply_announcement()
         self._crashes.announced(service, address, uptime, takes_work=self.takes_work())
         return True
 
     def set_operator_drain(self, drained: bool) -> None:
-        """Take in whether operators want it to be left alone."""
+        """Set whether operators have drained the backend server."""
         if drained == self.operator_drain:
             return
         self.operator_drain = drained
         if self.state.phase is not Phase.ABSENT:
-            self._announce()
+            self._apply_announcement()
 
-    def _announce(self) -> None:
+    def _apply_announcement(self) -> None:
         draining = self.draining_announced or self.operator_drain
         self.state.announced(self._clock.now(), draining=draining, uptime=self._uptime)
 
     def takes_work(self) -> bool:
-        """Return whether peers should send work here."""
+        """Return whether other nodes should send work to the backend server."""
         self.state.tick(self._clock.now())
         return self.state.phase not in (Phase.ABSENT, Phase.DRAINING)
 
     def report(self) -> LoadReport:
-        """Return the load as it is now."""
+        """Return the current load."""
         gate = self.gate
         return LoadReport(gate.running, gate.limit, gate.waiting, gate.service_time.typical)
 
     async def run(self, call: Call, attempt: Attempt) -> RunResult:
-        """Run a call at the backend server, or say truthfully that it was not run."""
+        """Run a call at the backend server; `Refused` only if it was certainly not run."""
         now = self._clock.now()
         refused = self._refuse_by_phase(call, now) or self._crashes.refuse(call)
         if refused is not None:
@@ -156,7 +156,7 @@
         return await self._run_admitted(call, attempt, ticket)
 
     def tick(self) -> None:
-        """Let time pass for the phase and its limits."""
+        """Update the phase and its limits to the current time."""
         now = self._clock.now()
         self.state.tick(now)
         if self.state.phase in (Phase.ABSENT, Phase.DRAINING):
@@ -222,14 +222,14 @@
                 connection = await self._pool.open(self.address, CONNECT_SECONDS)
             now = self._clock.now()
             if attempt.abandoned or now >= call.deadline:
-                self._end(ticket, connection, keep=True, failed=None)
+                self._release(ticket, connection, keep=True, failed=None)
                 return Refused(ResultCode.DEADLINE_PASSED, 0.0)
             return await self._exchange(call, attempt, ticket, connection, now)
         except UnreachableError:
-            self._end(ticket, None, keep=False, failed=True)
+            self._release(ticket, None, keep=False, failed=True)
             return Refused(ResultCode.UNREACHABLE, UNREACHABLE_RETRY_SECONDS)
         except asyncio.CancelledError:
-            self._end(ticket, connection, keep=False, failed=None)
+            self._release(ticket, connection, keep=False, failed=None)
             raise
 
     async def _exchange(
@@ -245,29 +245,29 @@
         instance = self._crashes.instance
         head = await exchanger.send(connection, attempt, now)
         if isinstance(head, Lost):
-            late = self._clock.now() >= call.deadline
-            failed = None if late or attempt.abandoned else True
-            self._end(ticket, connection, keep=False, failed=failed)
+            deadline_passed = self._clock.now() >= call.deadline
+            failed = None if deadline_passed or attempt.abandoned else True
+            self._release(ticket, connection, keep=False, failed=failed)
             if failed and call.is_complete:
                 self._crashes.lost(call, instance)
-            return Lost(ResultCode.DEADLINE_DURING_RUN) if late else head
+            return Lost(ResultCode.DEADLINE_DURING_RUN) if deadline_passed else head
         self._crashes.answered(instance, now)
         if head.status == SHED_STATUS and head.get(wire.SHED) is not None:
             exchanger.stop()
-            self._end(ticket, connection, keep=connection.body.complete, failed=None)
+            self._release(ticket, connection, keep=connection.body.complete, failed=None)
             return Refused(ResultCode.BACKEND_SERVER_SHED, SHED_RETRY_SECONDS)
         if not (head.is_framed or call.method == b"HEAD"):
             exchanger.stop()
-            self._end(ticket, connection, keep=False, failed=True)
+            self._release(ticket, connection, keep=False, failed=True)
             return Lost(ResultCode.ANSWER_UNFRAMED)
         failed = head.status in FAILURE_STATUSES
 
-        def finish(whole: bool) -> None:
+        def finish(fully_read: bool) -> None:
             exchanger.stop()
             self.finished += 1
-            if whole and not failed and call.is_complete:
-                self._crashes.ran_well(call)
-            self._end(ticket, connection, keep=whole, failed=failed)
+            if fully_read and not failed and call.is_complete:
+                self._crashes.succeeded(call)
+            self._release(ticket, connection, keep=fully_read, failed=failed)
 
         return Answer(head, connection.body, self.backend_server, finish)
 
@@ -280,7 +280,7 @@
             headers.append((b"hoisthook-hedge", b"1"))
         return headers
 
-    def _end(
+    def _release(
         self,
         ticket: Ticket,
         connection: ClientConnection | None,
@@ -294,7 +294,8 @@
                 self._pool.keep(self.address, connection)
             self.gate.release(ticket, now)
         else:
-            # A cancelled request holds its slot until the backend server has noticed.
+            # The backend server works on a cancelled request until it notices that the
+            # connection is closed, so the request keeps its slot until then.
             connection.close()
             connection.on_gone(lambda: self.gate.release(ticket, self._clock.now()))
         if failed is not None:
--- a/src/hoisthook/node/loop_clock.py
+++ b/src/hoisthook/node/loop_clock.py
@@ -6,7 +6,7 @@
 
 
 class LoopClock:
-    """A `Clock` that is the one of the event loop's timers, whichever loop runs."""
+    """A `Clock` that reads the time of the running event loop, as its timers do."""
 
     def now(self) -> float:
         """Return seconds since an arbitrary start."""
--- a/src/hoisthook/node/node.py
+++ b/src/hoisthook/node/node.py
@@ -1,4 +1,4 @@
-"""A node: its parts, put together, started and closed."""
+"""A node: creates its components, connects them, and starts and stops them."""
 
 from __future__ import annotations
 
@@ -62,28 +62,28 @@
     from hoisthook.port.platform_log import PlatformLog
     from hoisthook.settings.node_settings import NodeSettings
 
-FAREWELL_SECONDS = 0.5
-CANCEL_AGAIN_SECONDS = 0.1
+LEAVE_MESSAGE_SECONDS = 0.5
+CANCEL_RETRY_SECONDS = 0.1
 HOUSEKEEPING_SECONDS = 5.0
 
 
 class Node:
-    """One process beside one backend server.
+    """The composition root of one node process, which serves one local backend server.
 
     Parameters
     ----------
     settings : NodeSettings
-        Checked.
+        Validated settings.
     log : PlatformLog
         The platform's log.
     peers : PeerTransport
-        Reaches other nodes.
+        Sends messages to other nodes.
     decisions : JsonDecisionLog
-        Gets decisions and events.
+        Receives decisions and events.
     clock : Clock
-        Monotonic, the loop's own.
+        Monotonic; the event loop's clock.
     metrics : StatsdMetrics, optional
-        Where metrics go.
+        Receives the metrics.
     """
 
     def __init__(
@@ -114,30 +114,30 @@
         self._make_servers()
         self._make_membership()
         self._make_configuration()
-        self._make_path()
+        self._make_call_path()
 
     @property
     def callers_address(self) -> Address:
-        """Return where callers reach the node."""
+        """Return the address at which the node serves callers."""
         return self._callers.address
 
     @property
     def peers_address(self) -> Address:
-        """Return where other nodes reach it."""
+        """Return the address at which the node serves other nodes."""
         return self._peer_server.address
 
     @property
     def announcements_address(self) -> Address:
-        """Return where its backend server announces itself."""
+        """Return the address at which the local backend server announces itself."""
         return self._announcements.address
 
     @property
     def operators_address(self) -> Address:
-        """Return where operators reach it."""
+        """Return the address at which the node serves operators."""
         return self._operators.address
 
     async def start(self) -> None:
-        """Open all sockets, then begin to talk and to follow the log.
+        """Open all sockets, then start the gossip and follow the log.
 
         Raises
         ------
@@ -150,7 +150,7 @@
         await self._operators.start()
         self.table.update_me(self._clock.now(), address=format_address(self.peers_address))
         loop = asyncio.get_running_loop()
-        runs = [
+        coroutines = [
             self._tick_forever(),
             self._housekeep_forever(),
             self._publish_forever(),
@@ -158,7 +158,7 @@
             self.follower.run(),
             self._measurer.run(),
         ]
-        self._tasks = [loop.create_task(run) for run in runs]
+        self._tasks = [loop.create_task(coroutine) for coroutine in coroutines]
         self._decisions.event(
             "started",
             incarnation=self.incarnation,
@@ -169,44 +169,46 @@
         )
 
     async def close(self) -> bool:
-        """Leave, let requests in progress end, and close everything.
+        """Send the leave message, await the requests in progress, and close everything.
 
         Returns
         -------
         bool
-            Whether every request in progress ended by itself.
+            Whether every request in progress finished before the drain timeout.
         """
         await self.gossip.leave()
-        await asyncio.sleep(FAREWELL_SECONDS)
+        await asyncio.sleep(LEAVE_MESSAGE_SECONDS)
         self._ingress.stopping = True
         self._hop_server.stopping = True
         timeout = self.settings.shutdown.drain_seconds
-        ended = await asyncio.gather(self._callers.close(timeout), self._peer_server.close(timeout))
+        finished = await asyncio.gather(
+            self._callers.close(timeout), self._peer_server.close(timeout)
+        )
         await self._announcements.close(1.0)
         await self._operators.close()
-        await self._end_tasks()
+        await self._cancel_tasks()
         self._hop_pool.close()
         self._backend_pool.close()
         await self._peers.close()
         await self._log.close()
         self._publish()
-        self._decisions.event("stopped", whole=all(ended))
+        self._decisions.event("stopped", whole=all(finished))
         if self._statsd is not None:
             self._statsd.close()
-        return all(ended)
+        return all(finished)
 
-    async def _end_tasks(self) -> None:
-        """Cancel until it holds: a client library may turn a cancel into an error."""
+    async def _cancel_tasks(self) -> None:
+        """Cancel tasks until all end: a client library may turn a cancellation into an error."""
         running = set(self._tasks)
         self._crashes.close()
         self._announcing.close()
         while running:
             for task in running:
                 task.cancel()
-            _, running = await asyncio.wait(running, timeout=CANCEL_AGAIN_SECONDS)
+            _, running = await asyncio.wait(running, timeout=CANCEL_RETRY_SECONDS)
 
     async def abort(self) -> None:
-        """Drop everything at once, as a crash would."""
+        """Close everything at once without draining, as a crash would."""
         for task in self._tasks:
             task.cancel()
         self._crashes.close()
@@ -230,8 +232,8 @@
         me = Member(
             node=self.settings.node.id,
             incarnation=self.incarnation,
-            # Wall-clock time only orders a node's own restarts; peers' copies
-            # that carry a higher version are outbid when they come back.
+            # Wall-clock time only orders a node's own restarts. When the node receives a
+            # copy of its record with a higher version, it raises its own version above it.
             version=time.time_ns() // 1_000_000,
             address=self.settings.listen.peers,
             data_centre=self.settings.node.data_centre,
@@ -265,7 +267,7 @@
         self.gossip.on_peer_offset = self.follower.peer_offset
         self._configuration_writer = ConfigurationWriter(self.state, self.follower, self._log)
 
-    def _make_path(self) -> None:
+    def _make_call_path(self) -> None:
         routing = self.settings.routing
         is_product = routing.policy is PolicyName.HOISTHOOK
         self._crashes = CrashGuard(
@@ -356,8 +358,8 @@
         await serve_asgi(self._announcement_app, exchange)
 
     def announced(self, message: Announcement) -> bool:
-        """Take in an announcement; False if another backend server is here already."""
-        taken = self.local_backend.announced(
+        """Apply an announcement; False if another backend server is already announced here."""
+        accepted = self.local_backend.announced(
             message.backend_server,
             message.service,
             parse_address(message.address),
@@ -365,10 +367,10 @@
             draining=message.draining,
             uptime=message.uptime_ms / 1000.0,
         )
-        if taken:
+        if accepted:
             self._measurer.path = message.load_path
             self._configuration_changed()
-        return taken
+        return accepted
 
     def _member_changed(self, member: Member) -> None:
         self._decisions.event(
--- a/src/hoisthook/node/node_metrics.py
+++ b/src/hoisthook/node/node_metrics.py
@@ -1,4 +1,4 @@
-"""Counts decisions on their way to the log."""
+"""Counts decisions before they are logged."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class NodeMetrics:
-    """A `DecisionLog` that counts and passes on.
+    """A `DecisionLog` that counts decisions and forwards them to another one.
 
     Parameters
     ----------
     log : DecisionLog
-        Passed on to.
+        Receives everything that is logged here.
     """
 
     def __init__(self, log: DecisionLog) -> None:
@@ -25,19 +25,19 @@
         self._count_by_name: dict[str, float] = {}
 
     def routed(self, call: Call, done: Dispatched, code: ResultCode, cost: float) -> None:
-        """Count a call by its result code, its tries, and its time."""
+        """Count a call by its result code, its attempts, and its duration."""
         self._add(f"calls.{code.name.lower()}", 1)
         self._add("attempts", done.attempts)
         self._add("calls.ms", cost * 1000.0)
         self._log.routed(call, done, code, cost)
 
     def refused(self, call: Call, backend_server: str, code: ResultCode) -> None:
-        """Count a refusal beside."""
+        """Count a refusal by the local backend server's node."""
         self._add(f"refusals.{code.name.lower()}", 1)
         self._log.refused(call, backend_server, code)
 
     def event(self, name: str, **fields: object) -> None:
-        """Pass an event on."""
+        """Forward an event."""
         self._log.event(name, **fields)
 
     def counters(self) -> dict[str, float]:
--- a/src/hoisthook/node/node_report.py
+++ b/src/hoisthook/node/node_report.py
@@ -1,4 +1,4 @@
-"""What a node says of itself, to operators and to metrics."""
+"""The state of a node, as reported to operators and in metrics."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeReport:
-    """Reads the parts of a node; changes nothing."""
+    """Reads the state of a node's components without changing it."""
 
     node: str
     incarnation: Incarnation
@@ -37,7 +37,7 @@
     guard: PauseGuard
 
     def counters(self) -> dict[str, float]:
-        """Return totals since the start, by metric name."""
+        """Return totals since the node's start, by metric name."""
         return {
             **self.metrics.counters(),
             "measure.requests": self.budget.spent,
@@ -49,7 +49,7 @@
         }
 
     def gauges(self) -> dict[str, float]:
-        """Return present values, by metric name."""
+        """Return current values, by metric name."""
         return {
             "running": self.local_backend.gate.running,
             "waiting": self.local_backend.gate.waiting,
@@ -62,7 +62,7 @@
         }
 
     def status(self) -> pb.NodeStatusReply:
-        """Return the answer to the operators' call."""
+        """Return the reply to the operators' `NodeStatus` call."""
         gate = self.local_backend.gate
         return pb.NodeStatusReply(
             node=self.node,
--- a/src/hoisthook/node/operators_endpoint.py
+++ b/src/hoisthook/node/operators_endpoint.py
@@ -1,4 +1,4 @@
-"""The socket at which operators call a node."""
+"""The gRPC server for operators' calls."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 
 
 class OperatorsEndpoint:
-    """Serves operators' calls until closed.
+    """Serves operators' gRPC calls until it is closed.
 
     Parameters
     ----------
     address : Address
-        Where to listen; port 0 lets the system choose.
+        Address to listen on; port 0 lets the system choose a port.
     service : OperatorService
         Answers the calls.
 
     Attributes
     ----------
     address : Address
-        Where it listens, once started.
+        The address it listens on, once started.
     """
 
     def __init__(self, address: Address, service: OperatorService) -> None:
@@ -56,7 +56,7 @@
         self._server = server
 
     async def close(self) -> None:
-        """Drop all connections."""
+        """Stop listening and close all connections."""
         if self._server is not None:
             self._server.close()
             await self._server.wait_closed()
--- a/src/hoisthook/node/own_record.py
+++ b/src/hoisthook/node/own_record.py
@@ -1,4 +1,4 @@
-"""What a node tells the others of the backend server beside it."""
+"""Publishes the state of the local backend server to the other nodes."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 
 
 class OwnRecord:
-    """Keeps the node's own record in the member table true and announces its changes.
+    """Keeps the node's own record in the member table up to date and announces its changes.
 
     Parameters
     ----------
     local_backend : LocalBackend
-        The backend server's side.
+        The local backend server.
     state : ConfigurationState
-        Tells whether its service's limits are known.
+        The configured services.
     table : MemberTable
         Holds the record.
     gossip : Gossip
-        Spreads it.
+        Announces changes to the other nodes.
     clock : Clock
         Monotonic.
     decisions : JsonDecisionLog
-        Gets a line for each change.
+        Receives an event for each change.
     """
 
     def __init__(
@@ -53,17 +53,17 @@
         self._announcing: set[asyncio.Task[None]] = set()
 
     def refresh(self) -> None:
-        """Announce what has changed, if anything has."""
+        """Update and announce the record if it has changed."""
         local_backend = self._local_backend
         me = self._table.me
         if me.status is MemberStatus.LEFT:
             return
-        # A node that does not know the service's limits yet cannot keep them.
+        # Until the service's configuration is known, its limits cannot be enforced.
         takes_work = (
             local_backend.takes_work() and local_backend.service in self._state.service_by_name
         )
-        told = (me.backend_server, me.service, me.slots, me.takes_work)
-        if told == (
+        published = (me.backend_server, me.service, me.slots, me.takes_work)
+        if published == (
             local_backend.backend_server,
             local_backend.service,
             local_backend.gate.slots,
@@ -89,6 +89,6 @@
         task.add_done_callback(self._announcing.discard)
 
     def close(self) -> None:
-        """Stop announcements that are under way."""
+        """Cancel the announcements in progress."""
         for task in self._announcing:
             task.cancel()
--- a/src/hoisthook/node/reply.py
+++ b/src/hoisthook/node/reply.py
@@ -1,4 +1,4 @@
-"""Writes answers and refusals to whoever asked."""
+"""Writes answers and refusals to callers and to other nodes."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 
 def answer_headers(answer: Answer) -> list[Header]:
-    """Return the backend server's own headers that go on to the caller."""
+    """Return the headers of a backend server's answer that are forwarded to the caller."""
     return wire.without_own(end_to_end(answer.head.headers))
 
 
 def success_headers(ran_by: str, attempts: int) -> list[Header]:
-    """Return the headers that say how an answer came about."""
+    """Return the headers of a successful call: its result, backend server and attempts."""
     return [
         (wire.RESULT, _OK_HEADER),
         (wire.RAN, _RAN_HEADER),
@@ -45,20 +45,20 @@
     retry_after: float = 0.0,
     extra: list[Header] | None = None,
 ) -> None:
-    """Answer at once with a result code.
+    """Respond with a result code.
 
     Parameters
     ----------
     exchange : ServerExchange
         Not yet answered.
     code : ResultCode
-        Why.
+        The reason.
     ran : Ran, optional
-        What to say instead of the code's own word.
+        Whether the request ran, where it differs from what the code implies.
     retry_after : float
-        Seconds after which to come back; 0 for none.
+        Seconds to wait before a retry; 0 for no retry header.
     extra : list of Header, optional
-        Further headers.
+        Additional headers.
     """
     headers: list[Header] = [
         (wire.RESULT, _RESULT_BY_CODE[code]),
@@ -77,28 +77,28 @@
 async def relay(
     exchange: ServerExchange, answer: Answer, headers: list[Header], *, keep: bool = False
 ) -> bytes | None:
-    """Stream an answer to whoever asked; a broken one is shown as broken.
+    """Stream an answer; if it breaks off, abort the connection so that it can't pass as complete.
 
     Parameters
     ----------
     exchange : ServerExchange
         Not yet answered.
     answer : Answer
-        Finished here.
+        The answer to send; it is finished here in any case.
     headers : list of Header
-        All headers to send but those of the framing.
+        All headers to send, except for the framing.
     keep : bool
-        Whether to read on when the other side is gone, and to return the body.
+        Whether to go on reading after the receiver has disconnected, and to return the body.
 
     Returns
     -------
     bytes or None
-        The whole body if ``keep`` and it is not too large.
+        The complete body if ``keep`` is set and it has at most ``MAX_ANSWER_BYTES``.
     """
     body = answer.body
     kept: list[bytes] = []
     kept_size = 0
-    whole = False
+    fully_read = False
     try:
         data = body.take_buffered()
         head = exchange.begin(
@@ -115,12 +115,12 @@
             exchange.write(data)
             if not exchange.gone:
                 await exchange.drain()
-        whole = True
+        fully_read = True
     except BrokenExchangeError:
         exchange.abort()
     finally:
-        answer.finish(whole=whole)
-    if not whole:
+        answer.finish(fully_read=fully_read)
+    if not fully_read:
         return None
     exchange.end()
     return b"".join(kept) if keep and kept_size <= MAX_ANSWER_BYTES else None
--- a/src/hoisthook/node/request_body.py
+++ b/src/hoisthook/node/request_body.py
@@ -1,4 +1,4 @@
-"""Reads a request's body as far as it is kept for another try."""
+"""Buffers the body of a request, up to the limit for retries."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 async def read_body(stream: BodyStream) -> tuple[bytes, BodyStream | None]:
-    """Return the body's beginning and, if it is long, the stream of the rest.
+    """Return the buffered body and, if it exceeds the limit, the stream of its remainder.
 
     Raises
     ------
     BrokenExchangeError
-        If the body broke off.
+        If the connection broke before the body was complete.
     """
     data = stream.take_buffered()
     while not stream.complete:
--- a/src/hoisthook/node/wire.py
+++ b/src/hoisthook/node/wire.py
@@ -1,4 +1,4 @@
-"""Names of the headers that hoisthook reads and writes."""
+"""Names and encodings of the headers that hoisthook reads and writes."""
 
 from __future__ import annotations
 
@@ -37,22 +37,22 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptHeader:
-    """What an entry says of its attempt to the node beside a backend server.
+    """The header by which an ingress node describes an attempt to the target node.
 
     Attributes
     ----------
     sender : Incarnation
-        The entry's incarnation.
+        The ingress node's incarnation.
     number : int
-        The attempt's number within it.
+        The attempt's number, unique within ``sender``.
     target : Incarnation
-        The incarnation meant; any other refuses.
+        The incarnation that the attempt is addressed to; any other refuses it.
     may_wait : bool
-        Whether the queue may be used.
+        Whether the backend server's queue may be used.
     repeatable : bool
-        Whether a second run would do no harm.
+        Whether the request may run more than once.
     hedge : bool
-        Whether another try is under way.
+        Whether another attempt of the same call is in progress.
     """
 
     sender: Incarnation
@@ -69,7 +69,7 @@
 
     @classmethod
     def decode(cls, value: bytes) -> AttemptHeader | None:
-        """Return the header, or None if the value is none."""
+        """Return the header, or None if the value is malformed."""
         parts = value.decode("latin-1").split()
         if len(parts) != 4 or not (parts[1].isdecimal() and parts[3].isdecimal()):
             return None
@@ -87,12 +87,12 @@
 
 
 def without_own(headers: list[Header]) -> list[Header]:
-    """Return the headers that are not hoisthook's."""
+    """Return the headers without those of hoisthook."""
     return [header for header in headers if not header[0].startswith(OWN_PREFIX)]
 
 
 def parse_timeout_ms(value: bytes) -> float | None:
-    """Return a timeout in seconds, or None if the value is no positive number."""
+    """Return the timeout in seconds, or None if the value is not a positive, finite number."""
     try:
         millis = float(value)
     except ValueError:
--- a/tests/mesh/test_crashing_requests.py
+++ b/tests/mesh/test_crashing_requests.py
@@ -69,7 +69,7 @@
     return sum(len(shop.backend.crashes) for shop in shops)
 
 
-async def test_work_that_ends_backend_servers_is_not_sent_on_for_ever(system: MeshSystem) -> None:
+async def test_work_that_crashes_backend_servers_is_refused_in_the_end(system: MeshSystem) -> None:
     ingresses, shops = await ingresses_and_servers(system)
     for number in range(ROUNDS):
         status, _, _ = await system.call(ingresses[number % INGRESSES], CRASHING)
--- a/tests/node/test_bad_peers.py
+++ b/tests/node/test_bad_peers.py
@@ -56,7 +56,7 @@
     assert msgspec.json.decode(got.body)["code"] == 1003
 
 
-async def test_second_backend_server_beside_one_node_is_refused(system: System) -> None:
+async def test_second_backend_server_at_one_node_is_refused(system: System) -> None:
     assert not system.node_by_name["b1"].announced(Announcement("x", "svc", "127.0.0.1:1", 1))
 
 
@@ -78,7 +78,7 @@
     assert system.runs("r") == 0
 
 
-async def test_answer_of_something_else_at_the_holders_address_is_not_handed_on(
+async def test_answer_of_something_else_at_the_holders_address_is_not_forwarded(
     system: System,
 ) -> None:
     key = await system.issue_key("a")
--- a/tests/node/test_crashing_requests.py
+++ b/tests/node/test_crashing_requests.py
@@ -60,7 +60,7 @@
     return sorted(system.backend_by_name.items())
 
 
-async def test_work_that_ends_backend_servers_is_not_sent_on_for_ever(system: System) -> None:
+async def test_work_that_crashes_backend_servers_is_refused_in_the_end(system: System) -> None:
     got = [await send_and_restart(system, number) for number in range(SENDS)]
     assert system.runs(CRASHING) <= MOST_ENDED
     assert got[-1].code == ResultCode.WORK_ENDS_SERVERS.number
--- a/tests/node/test_fault_matrix.py
+++ b/tests/node/test_fault_matrix.py
@@ -107,7 +107,7 @@
 @pytest.mark.parametrize("fault", FAULTS)
 @pytest.mark.parametrize("step", STEPS)
 @pytest.mark.parametrize("wire", WIRES)
-async def test_repeatable_request_gets_its_own_whole_answer_or_none(
+async def test_repeatable_request_gets_its_own_complete_answer_or_none(
     system: System, wire: str, step: str, fault: str
 ) -> None:
     plan(system, wire, step, fault)
--- a/tests/node/test_hedge_race.py
+++ b/tests/node/test_hedge_race.py
@@ -22,7 +22,7 @@
     return Answer(AnswerHead(200, []), BodyStream(Source()), "b", lambda whole: None)
 
 
-async def test_first_try_that_is_over_is_not_given_up_when_the_second_answers() -> None:
+async def test_finished_first_attempt_is_not_abandoned_when_the_hedge_answers() -> None:
     given_up: list[str] = []
     first = Attempt(1, may_wait=False)
     first.on_abandon(lambda: given_up.append("first"))
@@ -49,7 +49,7 @@
     assert given_up == []
 
 
-async def test_first_try_under_way_is_given_up_when_the_second_answers() -> None:
+async def test_running_first_attempt_is_abandoned_when_the_hedge_answers() -> None:
     first_ends = asyncio.Event()
     first = Attempt(1, may_wait=False)
     first.on_abandon(first_ends.set)
--- a/tests/node/test_leaving.py
+++ b/tests/node/test_leaving.py
@@ -91,7 +91,7 @@
     assert system.backend_by_name["b1"].runs == []
 
 
-async def test_operators_drain_is_obeyed_beside(system: System) -> None:
+async def test_operators_drain_is_obeyed_by_the_local_node(system: System) -> None:
     record = ChangeRecord("drain", 0, SetDrain("b1", drained=True))
     await system.log.append(CHANGES_STREAM, msgspec.json.encode(record))
     node = system.node_by_name["b1"]
@@ -134,7 +134,9 @@
     await system.until(lambda: all(n.state.offset == 1 for n in system.node_by_name.values()))
 
 
-async def test_node_started_in_an_outage_serves_by_its_peers_word(system: System) -> None:
+async def test_node_started_in_an_outage_serves_with_its_peers_configuration(
+    system: System,
+) -> None:
     system.log.outage = True
     node = await system.start_node("late")
     await system.until(lambda: node.state.loaded and len(serving(node)) == 2)
@@ -144,7 +146,7 @@
 @pytest.fixture
 def no_grace(monkeypatch: pytest.MonkeyPatch) -> None:
     """Let only the wait for requests in progress keep them from being cut."""
-    monkeypatch.setattr(node_module, "FAREWELL_SECONDS", 0.0)
+    monkeypatch.setattr(node_module, "LEAVE_MESSAGE_SECONDS", 0.0)
     monkeypatch.setattr(call_server, "LEAVE_GRACE_SECONDS", 0.0)
 
 
@@ -154,7 +156,7 @@
     await system.until(lambda: table.get("b1").status is MemberStatus.LEFT)
 
 
-async def test_closing_an_entry_cuts_nothing_and_takes_nothing_new(
+async def test_closing_an_ingress_node_cuts_nothing_and_accepts_nothing_new(
     system: System, no_grace: None
 ) -> None:
     for backend in system.backend_by_name.values():
@@ -171,7 +173,9 @@
     assert system.runs("late") == 0
 
 
-async def test_closing_a_node_beside_cuts_nothing(patient_system: System, no_grace: None) -> None:
+async def test_closing_the_node_of_a_backend_server_cuts_nothing(
+    patient_system: System, no_grace: None
+) -> None:
     system = patient_system
     for backend in system.backend_by_name.values():
         backend.work = 0.25
@@ -214,9 +218,7 @@
     assert failures == []
 
 
-async def test_closing_that_runs_out_of_time_says_that_it_cut(
-    system: System, no_grace: None
-) -> None:
+async def test_closing_that_times_out_reports_that_it_cut(system: System, no_grace: None) -> None:
     for backend in system.backend_by_name.values():
         backend.work = 0.39
     node = system.node_by_name.pop("a")
@@ -259,7 +261,7 @@
     assert {b.id: b.takes_work for b in reply.backend_servers} == {"b1": False, "b2": True}
 
 
-async def test_entry_waits_beside_the_one_that_is_full_not_the_one_that_leaves(
+async def test_ingress_waits_at_the_full_backend_server_not_at_the_leaving_one(
     system: System,
 ) -> None:
     """The draining one had the shorter queue, and the call was given up there."""
@@ -271,7 +273,7 @@
     b1.gossip.announce = b1.gossip.leave
     b1.gossip.table.take_news = tuple
     b1.local_backend.draining_announced = True
-    b1.local_backend._announce()
+    b1.local_backend._apply_announcement()
     holding = [
         asyncio.ensure_future(system.call(ingress(system, "c"), f"hold{number}"))
         for number in range(4)
--- a/tests/node/test_path.py
+++ b/tests/node/test_path.py
@@ -60,7 +60,7 @@
         assert (system.runs(name) >= 1) == (each.code == 0)
 
 
-async def test_given_up_request_is_answered_before_its_deadline(patient_system: System) -> None:
+async def test_refused_request_is_answered_before_its_deadline(patient_system: System) -> None:
     """No work ends before the first answer is read, so that answer cannot be one of them."""
     system = patient_system
     held = asyncio.Event()
@@ -102,7 +102,7 @@
     assert (await post(system, "r", issued)).code == 0
 
 
-async def test_repeat_through_another_entry_gets_the_first_answer(system: System) -> None:
+async def test_repeat_through_another_ingress_gets_the_first_answer(system: System) -> None:
     key = await system.issue_key("a")
     first = await post(system, "r", key, "a")
     again = await post(system, "r", key, "c")
@@ -193,7 +193,7 @@
         b"",
     ],
 )
-async def test_broken_answer_is_never_a_whole_one(system: System, raw: bytes) -> None:
+async def test_broken_answer_is_never_a_complete_one(system: System, raw: bytes) -> None:
     for backend in system.backend_by_name.values():
         backend.raw_answer = lambda _: raw
         backend.die_after = b"!"
@@ -265,7 +265,7 @@
     assert (await system.call(ingress(system), "r")).code == 0
 
 
-async def test_paused_node_beside_refuses_and_another_runs_it(system: System) -> None:
+async def test_paused_node_of_a_backend_server_refuses_and_another_runs_it(system: System) -> None:
     guard = system.node_by_name["b1"].guard
     guard.stale = True
     guard._woke_at = float("inf")
@@ -288,7 +288,7 @@
     assert bodies == [b"p1", b"p2", b"p3"]
 
 
-async def test_paused_entry_does_not_say_of_a_key_that_it_was_not_run(system: System) -> None:
+async def test_paused_ingress_does_not_report_a_key_as_not_run(system: System) -> None:
     key = await system.issue_key("a")
     assert (await post(system, "r", key)).code == 0
     guard = system.node_by_name["c"].guard
@@ -298,12 +298,12 @@
     assert (got.code, got.ran) == (2010, "unknown")
 
 
-async def test_node_whose_connections_drop_is_left_alone_for_a_while(
+async def test_node_whose_connections_drop_is_avoided_for_a_while(
     unhedged_system: System, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Each call that was lost there spent the retry budget of the next."""
     system = unhedged_system
-    monkeypatch.setattr(hop_client, "LOST_SECONDS", 60.0)
+    monkeypatch.setattr(hop_client, "LOST_BACKOFF_SECONDS", 60.0)
     system.backend_by_name["b2"].work = 0.02
     await asyncio.gather(*(system.call(ingress(system), f"warm{number}") for number in range(8)))
     await system.until(lambda: all(b.active == 0 for b in system.backend_by_name.values()))
--- a/tests/process/test_platform_process.py
+++ b/tests/process/test_platform_process.py
@@ -87,7 +87,7 @@
     await process.wait()
 
 
-async def test_reload_of_a_running_node_is_told_and_a_bad_file_changes_nothing(
+async def test_reload_of_a_running_node_is_logged_and_a_bad_file_changes_nothing(
     store: StoreStandin, tmp_path: Path
 ) -> None:
     path = tmp_path / "settings.toml"
@@ -104,7 +104,7 @@
     assert await process.wait() == 0
 
 
-def test_what_a_start_loads_is_no_work_for_the_collector_later() -> None:
+def test_objects_loaded_at_start_are_frozen_for_the_collector() -> None:
     told = subprocess.run(
         [sys.executable, "-c", "import gc, run_node; print(gc.isenabled(), gc.get_freeze_count())"],
         cwd=PROGRAM.parent,
--- a/tests/process/test_processes.py
+++ b/tests/process/test_processes.py
@@ -100,7 +100,7 @@
     return found[0]
 
 
-async def test_node_killed_beside_a_running_request_leaves_it_unknown_and_run_once(
+async def test_killed_node_of_a_running_request_leaves_it_unknown_and_run_once(
     caller: Caller,
 ) -> None:
     ingress, other = caller.cluster.of(INGRESS_SERVICE)
@@ -147,7 +147,7 @@
     assert await caller.runs("once") == 1
 
 
-async def test_frozen_node_beside_is_passed_by_and_its_late_work_is_refused(
+async def test_frozen_node_of_a_backend_server_is_avoided_and_its_late_work_is_refused(
     caller: Caller,
 ) -> None:
     ingress = caller.cluster.of(INGRESS_SERVICE)[0]
