--- a/tests/node/backend.py
+++ b/tests/node/backend.py
@@ -13,23 +13,25 @@
 
 
 class Backend(LoopbackListener):
-    """A backend server on raw streams; it notes each run before it works."""
+    """A backend server on raw streams that records each request before it runs it."""
 
     def __init__(self, name: str) -> None:
         super().__init__()
         self.name = name
         self.runs: list[str] = []
         self.headers: list[bytes] = []
-        self.work = 0.0
-        self.held: asyncio.Event | None = None
+        self.work_seconds = 0.0
+        self.release: asyncio.Event | None = None
         self.raw_answer: Callable[[str], bytes] | None = None
-        self.die_after: bytes | None = None
-        self.ends_under: str | None = None
+        self.truncate_before: bytes | None = None
+        self.crashes_on: str | None = None
         self.active = 0
-        self.most_active = 0
+        self.max_active = 0
         self.cancelled = 0
 
-    async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle_connection(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         while await self._serve_one(reader, writer):
             pass
 
@@ -41,27 +43,27 @@
         self.runs.append(name)
         self.headers.append(head)
         self.active += 1
-        self.most_active = max(self.most_active, self.active)
+        self.max_active = max(self.max_active, self.active)
         try:
-            if self.held is not None:
-                await self.held.wait()
-            if name == self.ends_under:
+            if self.release is not None:
+                await self.release.wait()
+            if name == self.crashes_on:
                 return False
-            if self.work:
+            if self.work_seconds:
                 await self._work(reader)
             writer.write(self._answer(name, body))
             await writer.drain()
-            return self.die_after is None
+            return self.truncate_before is None
         finally:
             self.active -= 1
 
     async def _work(self, reader: asyncio.StreamReader) -> None:
-        """Work, unless the request is cancelled by its connection's end."""
-        gone = asyncio.ensure_future(reader.read(1))
-        done, _ = await asyncio.wait([gone], timeout=self.work)
-        gone.cancel()
+        """Work until done, or until the request is cancelled by closing its connection."""
+        disconnected = asyncio.ensure_future(reader.read(1))
+        done, _ = await asyncio.wait([disconnected], timeout=self.work_seconds)
+        disconnected.cancel()
         with contextlib.suppress(asyncio.CancelledError):
-            await gone
+            await disconnected
         if done:
             self.cancelled += 1
             raise ConnectionError("cancelled")
@@ -71,5 +73,9 @@
             return self.raw_answer(name)
         content = f"{name}|{body.decode()}|{self.name}|{'.' * 200}".encode()
         head = b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % len(content)
-        whole = head + content
-        return whole if self.die_after is None else whole[: whole.index(self.die_after)]
+        complete = head + content
+        return (
+            complete
+            if self.truncate_before is None
+            else complete[: complete.index(self.truncate_before)]
+        )
--- a/tests/node/conftest.py
+++ b/tests/node/conftest.py
@@ -18,13 +18,13 @@
 
 @pytest.fixture(autouse=True)
 def warm_backend_servers(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let backend servers have all their slots at once."""
+    """Give backend servers all their slots at once by skipping the cold start."""
     monkeypatch.setattr(backend_server_state, "COLD_SECONDS", 0.001)
 
 
 @asynccontextmanager
 async def running(system: System) -> AsyncIterator[System]:
-    """Start a system and close it whatever happens."""
+    """Start a system, and close it even if the start or the test fails."""
     try:
         await system.start()
         yield system
@@ -34,14 +34,14 @@
 
 @pytest_asyncio.fixture
 async def patient_system(warm_backend_servers: None) -> AsyncIterator[System]:
-    """Give a system whose deadlines pass on no machine, however busy."""
+    """Provide a system whose deadlines are long enough for a busy machine."""
     async with running(System(timeout_ms=60_000)) as system:
         yield system
 
 
 @pytest_asyncio.fixture
 async def unhedged_system(warm_backend_servers: None) -> AsyncIterator[System]:
-    """Give a system whose retry budget no hedge spends."""
+    """Provide a system without hedges, which would spend its retry budget."""
     spec = ServiceSpec(SERVICE, timeout_ms=TIMEOUT_MS, measure_per_second=0, hedge=False)
     async with running(System(spec=spec)) as system:
         yield system
--- a/tests/node/faulty_wire.py
+++ b/tests/node/faulty_relay.py
@@ -1,4 +1,4 @@
-"""A relay between nodes and backend servers that fails where it is told to."""
+"""A relay between callers, nodes and backend servers that injects a fault at a given step."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
     from collections.abc import Callable
 
 
-class Wire(LoopbackListener):
-    """A relay that fails at one step of the first exchange it carries.
+class FaultyRelay(LoopbackListener):
+    """A relay that injects a fault at one step of the first exchange it carries.
 
-    Steps: ``connect``, ``send`` (nothing sent on), ``send-half``, ``sent`` (all
-    sent on), ``answer`` (nothing of the answer sent back), ``answer-half``,
-    ``answer-end`` (all but three bytes). Faults: ``cut``, ``freeze``, ``delay``,
-    ``duplicate``, or a callable.
+    Steps: ``connect``, ``send`` (nothing of the request forwarded), ``send-half``,
+    ``sent`` (all of it forwarded), ``answer`` (nothing of the answer sent back),
+    ``answer-half``, ``answer-end`` (all but three bytes). Faults: ``cut``,
+    ``freeze``, ``delay``, ``duplicate``, or a callable.
     """
 
     def __init__(self, upstream: tuple[str, int]) -> None:
@@ -28,51 +28,53 @@
         self.hits = 0
 
     async def restart(self, *, upstream: tuple[str, int]) -> None:
-        """Drop all connections and relay new ones elsewhere."""
+        """Drop all connections and relay new ones to another address."""
         self.upstream = upstream
         self.drop_connections()
         await asyncio.sleep(0.01)
 
-    def plan(self, step: str, fault: str | Callable[[], object]) -> None:
+    def inject(self, step: str, fault: str | Callable[[], object]) -> None:
         self.step, self.fault, self.hits = step, fault, 0
 
-    async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await self._at("connect")
+    async def handle_connection(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        await self._fail_at("connect")
         up_reader, up_writer = await asyncio.open_connection(*self.upstream)
         forward = asyncio.ensure_future(self._pump_requests(reader, up_writer))
-        back = asyncio.ensure_future(self._pump_answers(up_reader, writer))
+        backward = asyncio.ensure_future(self._pump_answers(up_reader, writer))
         try:
-            await asyncio.wait([forward, back], return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait([forward, backward], return_when=asyncio.FIRST_COMPLETED)
         finally:
             forward.cancel()
-            back.cancel()
-            await asyncio.gather(forward, back, return_exceptions=True)
+            backward.cancel()
+            await asyncio.gather(forward, backward, return_exceptions=True)
             up_writer.transport.abort()
 
     async def _pump_requests(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         while data := await reader.read(65536):
-            await self._at("send")
+            await self._fail_at("send")
             half = len(data) // 2
             writer.write(data[:half])
-            await self._at("send-half")
+            await self._fail_at("send-half")
             writer.write(data[half:])
             await writer.drain()
-            if self.step == "sent" and self.fault == "duplicate" and self._first():
+            if self.step == "sent" and self.fault == "duplicate" and self._is_first_hit():
                 await self._replay(data)
-            await self._at("sent")
+            await self._fail_at("sent")
 
     async def _pump_answers(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         while data := await reader.read(65536):
-            await self._at("answer")
+            await self._fail_at("answer")
             half = len(data) // 2
             writer.write(data[:half])
-            await self._at("answer-half")
+            await self._fail_at("answer-half")
             writer.write(data[half:-3])
-            await self._at("answer-end")
+            await self._fail_at("answer-end")
             writer.write(data[-3:])
 
     async def _replay(self, data: bytes) -> None:
@@ -82,12 +84,12 @@
         await asyncio.sleep(0.05)
         writer.transport.abort()
 
-    def _first(self) -> bool:
+    def _is_first_hit(self) -> bool:
         self.hits += 1
         return self.hits == 1
 
-    async def _at(self, step: str) -> None:
-        if step != self.step or self.fault == "duplicate" or not self._first():
+    async def _fail_at(self, step: str) -> None:
+        if step != self.step or self.fault == "duplicate" or not self._is_first_hit():
             return
         if self.fault == "cut":
             raise ConnectionError("cut")
--- a/tests/node/harness.py
+++ b/tests/node/harness.py
@@ -1,4 +1,4 @@
-"""Nodes, backend servers, a caller and faulty wires in one loop, over loopback sockets."""
+"""Nodes, backend servers, a caller and faulty relays in one loop, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from tests.fakes import FakePeer
 from tests.fakes import FakePeers
 from tests.node.backend import Backend
-from tests.node.faulty_wire import Wire
+from tests.node.faulty_relay import FaultyRelay
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -54,7 +54,7 @@
 """
 
 
-class SilentLog:
+class NullLog:
     def routed(self, *_: object) -> None: ...
 
     def refused(self, *_: object) -> None: ...
@@ -65,8 +65,8 @@
 
 
 @dataclass
-class Got:
-    """What a caller got: a whole answer, or None where it broke off."""
+class CallerResult:
+    """What a caller received: a complete answer, or no status if the exchange broke off."""
 
     status: int | None
     result: str = ""
@@ -80,14 +80,14 @@
 
 
 class System:
-    """Entries ``a`` and ``c``, nodes ``b1`` and ``b2`` beside backend servers."""
+    """Ingress nodes ``a`` and ``c``, and nodes ``b1`` and ``b2`` with a backend server each."""
 
     def __init__(self, *, timeout_ms: int = TIMEOUT_MS, spec: ServiceSpec | None = None) -> None:
         self.log = FakeLog()
         self.spec = spec or ServiceSpec(SERVICE, timeout_ms=timeout_ms, measure_per_second=0)
         self.node_by_name: dict[str, Node] = {}
         self.backend_by_name: dict[str, Backend] = {}
-        self.wire_by_name: dict[str, Wire] = {}
+        self.relay_by_name: dict[str, FaultyRelay] = {}
         self.pool = ClientPool()
         self.caller_seconds = CALLER_SECONDS if timeout_ms == TIMEOUT_MS else timeout_ms / 1000
         self._peer_by_address: dict[tuple[str, int], FakePeer] = {}
@@ -105,19 +105,19 @@
             backend = Backend(name)
             await backend.start()
             self.backend_by_name[name] = backend
-            await self._add_wire(f"{name}-backend", backend.address)
-            await self._add_wire(f"{name}-hop", self.node_by_name[name].peers_address)
+            await self._add_relay(f"{name}-backend", backend.address)
+            await self._add_relay(f"{name}-hop", self.node_by_name[name].peers_address)
             self.announce(name, slots)
-        await self._add_wire("caller", self.node_by_name["a"].callers_address)
-        await self._add_wire("holder", self.node_by_name["a"].peers_address)
-        self._rewrite("a", {name: f"{name}-hop" for name in backends})
-        self._rewrite("c", {"a": "holder"})
+        await self._add_relay("caller", self.node_by_name["a"].callers_address)
+        await self._add_relay("holder", self.node_by_name["a"].peers_address)
+        self._rewrite_addresses("a", {name: f"{name}-hop" for name in backends})
+        self._rewrite_addresses("c", {"a": "holder"})
         self._tasks.append(asyncio.ensure_future(self._announce_forever(slots)))
         for name in ("a", "c"):
             node = self.node_by_name[name]
             await self.until(lambda n=node: len(n.table.serving(SERVICE)) == len(backends))
             await self.until(lambda n=node: n.state.loaded)
-        await self.until(lambda: self._wired("a", backends))
+        await self.until(lambda: self._uses_relays("a", backends))
 
     async def start_node(self, name: str) -> Node:
         transport = FakePeers(self._peer_by_address)
@@ -125,22 +125,22 @@
             parse_settings(SETTINGS.format(name=name, host=HOST)),
             log=self.log,
             peers=transport,
-            decisions=SilentLog(),
+            decisions=NullLog(),
             clock=LoopClock(),
         )
         node.gossip.seeds = [n.peers_address for n in self.node_by_name.values()]
         await node.start()
         peer = FakePeer(node.gossip, node.follower)
         self._peer_by_address[node.peers_address] = peer
-        for wire_name in (f"{name}-hop", "holder" if name == "a" else ""):
-            if wire_name in self.wire_by_name:
-                self._peer_by_address[self.wire_by_name[wire_name].address] = peer
+        for relay_name in (f"{name}-hop", "holder" if name == "a" else ""):
+            if relay_name in self.relay_by_name:
+                self._peer_by_address[self.relay_by_name[relay_name].address] = peer
         self._transport_by_name[name] = transport
         self.node_by_name[name] = node
         return node
 
     def announce(self, name: str, slots: int = 4, *, draining: bool = False) -> None:
-        address = format_address(self.wire_by_name[f"{name}-backend"].address)
+        address = format_address(self.relay_by_name[f"{name}-backend"].address)
         uptime = self.uptime_ms_by_name.get(name, 0)
         message = Announcement(name, SERVICE, address, slots, draining=draining, uptime_ms=uptime)
         self.node_by_name[name].announced(message)
@@ -158,8 +158,8 @@
         for task in self._tasks:
             task.cancel()
         self.pool.close()
-        for wire in self.wire_by_name.values():
-            wire.close()
+        for relay in self.relay_by_name.values():
+            relay.close()
         for backend in self.backend_by_name.values():
             backend.close()
         for name in list(self.node_by_name):
@@ -188,7 +188,7 @@
         key: str | None = None,
         body: bytes = b"",
         headers: list[tuple[bytes, bytes]] | None = None,
-    ) -> Got:
+    ) -> CallerResult:
         """Send one request as a caller would."""
         sent = [(b"host", b"x"), (b"hoisthook-service", SERVICE.encode())]
         sent.append((b"x-run", name.encode()))
@@ -207,29 +207,29 @@
                 while data := await connection.body.read():
                     content += data
         except (BrokenExchangeError, UnreachableError, TimeoutError):
-            return Got(None)
+            return CallerResult(None)
         finally:
             if connection is not None:
                 connection.close()
         named = dict(head.headers)
         result = named.get(b"hoisthook-result", b"").decode()
         ran = named.get(b"hoisthook-ran", b"").decode()
-        return Got(head.status, result, ran, content, named)
+        return CallerResult(head.status, result, ran, content, named)
 
-    async def _add_wire(self, name: str, upstream: tuple[str, int]) -> None:
-        wire = Wire(upstream)
-        await wire.start()
-        self.wire_by_name[name] = wire
+    async def _add_relay(self, name: str, upstream: tuple[str, int]) -> None:
+        relay = FaultyRelay(upstream)
+        await relay.start()
+        self.relay_by_name[name] = relay
         if upstream in self._peer_by_address:
-            # Gossip is in memory and goes by the same addresses as the calls.
-            self._peer_by_address[wire.address] = self._peer_by_address[upstream]
+            # Gossip is exchanged in memory, under the same addresses as the calls.
+            self._peer_by_address[relay.address] = self._peer_by_address[upstream]
 
-    def _rewrite(self, name: str, wire_by_node: dict[str, str]) -> None:
+    def _rewrite_addresses(self, name: str, relay_by_node: dict[str, str]) -> None:
         def rewrite(member: Member) -> Member:
-            wire = wire_by_node.get(member.node)
-            if wire is None or self.node_by_name.get(member.node) is None:
+            relay = relay_by_node.get(member.node)
+            if relay is None or self.node_by_name.get(member.node) is None:
                 return member
-            address = format_address(self.wire_by_name[wire].address)
+            address = format_address(self.relay_by_name[relay].address)
             return msgspec.structs.replace(member, address=address)
 
         self._transport_by_name[name].rewrite = rewrite
@@ -248,10 +248,10 @@
                 bumped = msgspec.structs.replace(changed, version=member.version)
                 node.table._put(bumped, 0.0)
 
-    def _wired(self, name: str, backends: tuple[str, ...]) -> bool:
+    def _uses_relays(self, name: str, backends: tuple[str, ...]) -> bool:
         members = self.node_by_name[name].table.serving(SERVICE)
-        wires = {self.wire_by_name[f"{each}-hop"].address for each in backends}
-        return {parse_address(member.address) for member in members.values()} == wires
+        relays = {self.relay_by_name[f"{each}-hop"].address for each in backends}
+        return {parse_address(member.address) for member in members.values()} == relays
 
     async def _announce_forever(self, slots: int) -> None:
         while True:
--- a/tests/node/loopback_listener.py
+++ b/tests/node/loopback_listener.py
@@ -1,4 +1,4 @@
-"""A socket on loopback whose connections each have a conversation."""
+"""A listening socket on loopback with one handler for each connection."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class LoopbackListener(ABC):
-    """Runs `converse` for each connection; `close` ends all of them."""
+    """Runs `handle_connection` for each connection; `close` drops all of them."""
 
     def __init__(self) -> None:
         self._server: asyncio.Server | None = None
@@ -31,15 +31,17 @@
             task.cancel()
 
     @abstractmethod
-    async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Speak on one connection until it is over; it is dropped afterwards."""
+    async def handle_connection(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        """Serve one connection, which is dropped after the return."""
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
         self._tasks.add(task)
         try:
-            await self.converse(reader, writer)
+            await self.handle_connection(reader, writer)
         except (asyncio.IncompleteReadError, OSError, asyncio.CancelledError):
             pass
         finally:
--- a/tests/node/test_bad_peers.py
+++ b/tests/node/test_bad_peers.py
@@ -89,7 +89,7 @@
         await writer.drain()
 
     foreign = await asyncio.start_server(answer, "127.0.0.1", 0)
-    await system.wire_by_name["holder"].restart(upstream=foreign.sockets[0].getsockname())
+    await system.relay_by_name["holder"].restart(upstream=foreign.sockets[0].getsockname())
     address = system.node_by_name["c"].callers_address
     got = await system.call(address, "r", method=b"POST", key=key, body=b"5")
     foreign.close()
--- a/tests/node/test_crashing_requests.py
+++ b/tests/node/test_crashing_requests.py
@@ -1,8 +1,8 @@
-"""Work that ends backend servers, sent by callers with no platform.
+"""Work that crashes backend servers is refused after a few crashes, also without a platform.
 
-Whatever a request did was forgotten with its answer here too: each time that the same work came
-again it was sent to a backend server, and at times once more to the other one. Sixteen sends
-through two entries ended backend servers eighteen times:
+The failure: crashes were not remembered after the answer, so every repeat of the same work was
+sent to a backend server again, and at times to the other one as well. Sixteen calls through two
+ingress nodes caused eighteen crashes:
 
     assert 18 <= 7 where 18 = runs('crashing')
 """
@@ -22,13 +22,14 @@
     from collections.abc import AsyncIterator
 
     from tests.node.backend import Backend
-    from tests.node.harness import Got
+    from tests.node.harness import CallerResult
 
 CRASHING = "crashing"
-SENDS = 16
-# Three prove it; each of the two nodes may have begun it twice before it has heard of them.
-MOST_ENDED = 7
-RUNNING_MS = 60_000
+CALLS = 16
+# Three crashes are the evidence; each of the two nodes may have begun two more executions
+# before it has received that evidence.
+MAX_CRASHES = 7
+UPTIME_MS = 60_000
 
 
 @pytest_asyncio.fixture
@@ -40,12 +41,12 @@
     await running.close()
 
 
-async def send_and_restart(system: System, number: int) -> Got:
-    """Send the work; start again what it has ended, as another life under the same id."""
+async def send_and_restart(system: System, number: int) -> CallerResult:
+    """Send the work; restart each crashed backend server as a new incarnation of the same id."""
     before = {name: backend.runs.count(CRASHING) for name, backend in backends(system)}
     for name, backend in backends(system):
-        backend.ends_under = CRASHING
-        system.uptime_ms_by_name[name] = RUNNING_MS
+        backend.crashes_on = CRASHING
+        system.uptime_ms_by_name[name] = UPTIME_MS
         system.announce(name)
     ingress = system.node_by_name["ac"[number % 2]]
     got = await system.call(ingress.callers_address, CRASHING, target=b"/crashing")
@@ -61,8 +62,8 @@
 
 
 async def test_work_that_crashes_backend_servers_is_refused_in_the_end(system: System) -> None:
-    got = [await send_and_restart(system, number) for number in range(SENDS)]
-    assert system.runs(CRASHING) <= MOST_ENDED
+    got = [await send_and_restart(system, number) for number in range(CALLS)]
+    assert system.runs(CRASHING) <= MAX_CRASHES
     assert got[-1].code == ResultCode.WORK_ENDS_SERVERS.number
     other = await system.call(system.node_by_name["c"].callers_address, "other", target=b"/other")
     assert other.code == ResultCode.OK.number
--- a/tests/node/test_fault_matrix.py
+++ b/tests/node/test_fault_matrix.py
@@ -1,4 +1,4 @@
-"""Every fault at every step of a request, judged by what truly ran and what was truly got."""
+"""Every fault at every step of a request, checked against what ran and what callers received."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 
 if TYPE_CHECKING:
-    from tests.node.harness import Got
+    from tests.node.harness import CallerResult
     from tests.node.harness import System
 
 WIRES = ("caller", "hop", "backend")
@@ -16,11 +16,11 @@
 FAULTS = ("cut", "freeze", "delay", "crash beside", "crash holder", "cut, log out")
 
 
-def plan(system: System, wire: str, step: str, fault: str) -> None:
-    """Arrange a fault on whichever backend server's wires are used first."""
+def inject_fault(system: System, wire: str, step: str, fault: str) -> None:
+    """Inject a fault on the given wire, for all backend servers since either may be chosen."""
     names = ["caller"] if wire == "caller" else [f"{name}-{wire}" for name in ("b1", "b2")]
     for name in names:
-        system.wire_by_name[name].plan(step, make_fault(system, name, fault))
+        system.relay_by_name[name].inject(step, make_fault(system, name, fault))
 
 
 def make_fault(system: System, wire: str, fault: str) -> object:
@@ -41,15 +41,15 @@
     return fault
 
 
-def clear(system: System) -> None:
-    for wire in system.wire_by_name.values():
-        wire.plan("", "")
+def clear_faults(system: System) -> None:
+    for relay in system.relay_by_name.values():
+        relay.inject("", "")
 
 
-def judge(system: System, name: str, got: Got, most: int) -> None:
-    """Check what one send got against what the backend servers truly ran."""
+def check_result(system: System, name: str, got: CallerResult, max_runs: int) -> None:
+    """Check the result of one call against what the backend servers ran."""
     runs = system.runs(name)
-    assert runs <= most
+    assert runs <= max_runs
     if got.ran == "not-run":
         assert runs == 0
     if got.code == 0:
@@ -62,16 +62,16 @@
         assert got.ran in ("not-run", "unknown", "ran")
 
 
-async def settle(system: System) -> None:
-    """Wait until no run that was begun is under way, so that a late one shows."""
+async def wait_until_idle(system: System) -> None:
+    """Wait until no request is running, so that a late execution is counted."""
     if system.crashes:
         await asyncio.gather(*system.crashes)
     await system.until(lambda: all(b.active == 0 for b in system.backend_by_name.values()))
     await asyncio.sleep(0.02)
 
 
-# A copy on the way to the backend server itself is left out: TCP makes none, and
-# nothing stands there that could drop it but the backend server, which gets the key.
+# A duplicate on the way to the backend server itself is not tested: TCP delivers none, and
+# only the backend server, which receives the key, could drop one.
 DUPLICATES = [(wire, "sent", "duplicate") for wire in ("caller", "hop")]
 CELLS = [(wire, step, fault) for wire in WIRES for step in STEPS for fault in FAULTS]
 
@@ -81,27 +81,27 @@
     system: System, wire: str, step: str, fault: str
 ) -> None:
     key = await system.issue_key("a")
-    plan(system, wire, step, fault)
-    sends = []
+    inject_fault(system, wire, step, fault)
+    results = []
     first = await system.call(
-        system.wire_by_name["caller"].address, "once", method=b"POST", key=key, body=b"5"
+        system.relay_by_name["caller"].address, "once", method=b"POST", key=key, body=b"5"
     )
-    await settle(system)
-    judge(system, "once", first, 1)
-    clear(system)
-    sends.append(first)
+    await wait_until_idle(system)
+    check_result(system, "once", first, 1)
+    clear_faults(system)
+    results.append(first)
     for ingress in ("c", "a", "c"):
         if ingress not in system.node_by_name:
             continue
         address = system.node_by_name[ingress].callers_address
         again = await system.call(address, "once", method=b"POST", key=key, body=b"5")
-        await settle(system)
-        judge(system, "once", again, 1)
-        sends.append(again)
-    bodies = {got.body for got in sends if got.code == 0}
+        await wait_until_idle(system)
+        check_result(system, "once", again, 1)
+        results.append(again)
+    bodies = {got.body for got in results if got.code == 0}
     assert len(bodies) <= 1
     if first.code == 0 and "a" in system.node_by_name:
-        assert all(got.code == 0 for got in sends[1:])
+        assert all(got.code == 0 for got in results[1:])
 
 
 @pytest.mark.parametrize("fault", FAULTS)
@@ -110,17 +110,17 @@
 async def test_repeatable_request_gets_its_own_complete_answer_or_none(
     system: System, wire: str, step: str, fault: str
 ) -> None:
-    plan(system, wire, step, fault)
-    address = system.wire_by_name["caller"].address
+    inject_fault(system, wire, step, fault)
+    address = system.relay_by_name["caller"].address
     names = [f"get-{number}" for number in range(3)]
     got = await asyncio.gather(*(system.call(address, name) for name in names))
-    await settle(system)
+    await wait_until_idle(system)
     for name, each in zip(names, got, strict=True):
-        judge(system, name, each, 3)
-    clear(system)
+        check_result(system, name, each, 3)
+    clear_faults(system)
     if "a" in system.node_by_name:
         after = await system.call(system.node_by_name["a"].callers_address, "after")
-        judge(system, "after", after, 2)
+        check_result(system, "after", after, 2)
 
 
 @pytest.mark.parametrize(
@@ -131,10 +131,10 @@
     system: System, step: str, fault: str
 ) -> None:
     key = await system.issue_key("a")
-    system.wire_by_name["holder"].plan(step, fault)
+    system.relay_by_name["holder"].inject(step, fault)
     address = system.node_by_name["c"].callers_address
     for _ in range(3):
         got = await system.call(address, "once", method=b"POST", key=key, body=b"5")
-        await settle(system)
-        judge(system, "once", got, 1)
+        await wait_until_idle(system)
+        check_result(system, "once", got, 1)
     assert got.code in (0, 3006, 3005)
--- a/tests/node/test_hedge_race.py
+++ b/tests/node/test_hedge_race.py
@@ -23,45 +23,45 @@
 
 
 async def test_finished_first_attempt_is_not_abandoned_when_the_hedge_answers() -> None:
-    given_up: list[str] = []
+    abandoned: list[str] = []
     first = Attempt(1, may_wait=False)
-    first.on_abandon(lambda: given_up.append("first"))
-    second_may_end = asyncio.Event()
-    second_began = asyncio.Event()
-    theirs = answer()
+    first.on_abandon(lambda: abandoned.append("first"))
+    second_may_finish = asyncio.Event()
+    second_started = asyncio.Event()
+    second_answer = answer()
 
     async def run_first() -> Refused:
-        await second_began.wait()
+        await second_started.wait()
         return Refused(ResultCode.SLOTS_FULL, 0.1)
 
     async def run_second() -> Answer:
-        second_began.set()
-        await second_may_end.wait()
-        return theirs
+        second_started.set()
+        await second_may_finish.wait()
+        return second_answer
 
     race = HedgeRace(lambda: (Attempt(2, may_wait=True, hedge=True), run_second()))
     racing = asyncio.create_task(race.run(run_first(), first, 0.0))
-    await second_began.wait()
+    await second_started.wait()
     await asyncio.sleep(0)
     await asyncio.sleep(0)
-    second_may_end.set()
-    assert await racing is theirs
-    assert given_up == []
+    second_may_finish.set()
+    assert await racing is second_answer
+    assert abandoned == []
 
 
 async def test_running_first_attempt_is_abandoned_when_the_hedge_answers() -> None:
-    first_ends = asyncio.Event()
+    first_finished = asyncio.Event()
     first = Attempt(1, may_wait=False)
-    first.on_abandon(first_ends.set)
-    theirs = answer()
+    first.on_abandon(first_finished.set)
+    second_answer = answer()
 
     async def run_first() -> Lost:
-        await first_ends.wait()
+        await first_finished.wait()
         return Lost(ResultCode.ANSWER_LOST)
 
     async def run_second() -> Answer:
-        return theirs
+        return second_answer
 
     race = HedgeRace(lambda: (Attempt(2, may_wait=True, hedge=True), run_second()))
-    assert await race.run(run_first(), first, 0.0) is theirs
+    assert await race.run(run_first(), first, 0.0) is second_answer
     assert first.abandoned
--- a/tests/node/test_leaving.py
+++ b/tests/node/test_leaving.py
@@ -1,4 +1,4 @@
-"""Drains and shutdowns: nothing in progress is cut, nothing new is taken."""
+"""Drains and shutdowns: no request in progress is cut, and no new one is accepted."""
 
 from __future__ import annotations
 
@@ -44,14 +44,14 @@
 ) -> None:
     system.log.outage = log_state == "log out"
     backend = system.backend_by_name["b1"]
-    backend.work = system.backend_by_name["b2"].work = 0.2
+    backend.work_seconds = system.backend_by_name["b2"].work_seconds = 0.2
     running = [
         asyncio.ensure_future(system.call(ingress(system), f"old{number}")) for number in range(6)
     ]
     await system.until(lambda: backend.active > 0)
     system.announce("b1", draining=True)
     before = list(backend.runs)
-    system.backend_by_name["b2"].work = 0.0
+    system.backend_by_name["b2"].work_seconds = 0.0
     got = [await system.call(ingress(system, "ac"[n % 2]), f"new{n}") for n in range(10)]
     assert [run for run in backend.runs if run.startswith("new")] == []
     assert all(each.code == 0 for each in got)
@@ -67,9 +67,9 @@
 async def test_no_fault_during_a_drain_brings_new_work(
     system: System, step: str, fault: str
 ) -> None:
-    """Admission beside refuses, whatever the entries have or have not heard."""
+    """The backend server's node refuses, even if the ingress nodes do not know of the drain."""
 
-    async def strike() -> None:
+    async def inject_fault() -> None:
         if fault == "crash beside":
             await system.crash("b1")
         elif fault == "log out":
@@ -79,11 +79,11 @@
                 transport.cut.add(system.node_by_name["b1"].peers_address)
 
     if step == "before":
-        await strike()
+        await inject_fault()
     if "b1" in system.node_by_name:
         system.announce("b1", draining=True)
     if step == "after":
-        await strike()
+        await inject_fault()
     for number in range(8):
         got = await system.call(ingress(system, "ac"[number % 2]), f"r{number}")
         assert got.code == 0
@@ -115,8 +115,8 @@
     assert all(node.local_backend.takes_work() for node in outside)
     got = await system.call(ingress(system), "r")
     assert (got.code == 0) is bool(outside)
-    back = ChangeRecord("restore", 2, SetEvacuation(data_centre, evacuated=False))
-    await system.log.append(CHANGES_STREAM, msgspec.json.encode(back))
+    restore = ChangeRecord("restore", 2, SetEvacuation(data_centre, evacuated=False))
+    await system.log.append(CHANGES_STREAM, msgspec.json.encode(restore))
     await system.until(lambda: all(node.local_backend.takes_work() for node in serving))
     assert (await system.call(ingress(system), "again")).code == 0
 
@@ -145,7 +145,7 @@
 
 @pytest.fixture
 def no_grace(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let only the wait for requests in progress keep them from being cut."""
+    """Remove the other delays of a shutdown, so that only its wait for requests protects them."""
     monkeypatch.setattr(node_module, "LEAVE_MESSAGE_SECONDS", 0.0)
     monkeypatch.setattr(call_server, "LEAVE_GRACE_SECONDS", 0.0)
 
@@ -160,7 +160,7 @@
     system: System, no_grace: None
 ) -> None:
     for backend in system.backend_by_name.values():
-        backend.work = 0.25
+        backend.work_seconds = 0.25
     running = [
         asyncio.ensure_future(system.call(ingress(system), f"r{number}")) for number in range(4)
     ]
@@ -168,7 +168,7 @@
     node = system.node_by_name.pop("a")
     assert await node.close()
     assert all(got.code == 0 for got in await asyncio.gather(*running))
-    got = await system.call(system.wire_by_name["caller"].address, "late")
+    got = await system.call(system.relay_by_name["caller"].address, "late")
     assert got.status is None
     assert system.runs("late") == 0
 
@@ -178,12 +178,12 @@
 ) -> None:
     system = patient_system
     for backend in system.backend_by_name.values():
-        backend.work = 0.25
+        backend.work_seconds = 0.25
     running = [
         asyncio.ensure_future(system.call(ingress(system), f"r{number}")) for number in range(6)
     ]
     backends = [system.backend_by_name[name] for name in ("b1", "b2")]
-    # All of them, so that none arrives only after the close has begun and finds no slot.
+    # Wait for all of them, so that none arrives after the close has begun and finds no slot.
     await system.until(lambda: sum(backend.active for backend in backends) == len(running))
     assert system.backend_by_name["b1"].active > 0
     node = system.node_by_name.pop("b1")
@@ -209,7 +209,7 @@
         node = system.node_by_name.pop(name)
         assert await node.close()
         await system.start_node(name)
-        system.wire_by_name[f"{name}-hop"].upstream = system.node_by_name[name].peers_address
+        system.relay_by_name[f"{name}-hop"].upstream = system.node_by_name[name].peers_address
         system.announce(name)
         caller = system.node_by_name["c"]
         await system.until(lambda n=name, c=caller: n in serving(c))
@@ -220,7 +220,7 @@
 
 async def test_closing_that_times_out_reports_that_it_cut(system: System, no_grace: None) -> None:
     for backend in system.backend_by_name.values():
-        backend.work = 0.39
+        backend.work_seconds = 0.39
     node = system.node_by_name.pop("a")
     settings = node.settings
     node.settings = msgspec.structs.replace(
@@ -233,7 +233,7 @@
 
 
 async def test_node_that_does_not_know_the_service_yet_offers_no_work(system: System) -> None:
-    """Entries that know it were told by such a node that there is no such service."""
+    """Ingress nodes that knew the service got "no such service" from a node that did not."""
     system.log.outage = True
     node = await system.start_node("late")
     for transport in system._transport_by_name.values():
@@ -247,7 +247,7 @@
 
 
 async def test_leaving_node_does_not_offer_work_again(system: System) -> None:
-    """Its own housekeeping took the farewell's word back, and operators were misled."""
+    """Its periodic refresh announced it again after the leave message, also to operators."""
     node = system.node_by_name["b1"]
     await node.gossip.leave()
     node.announced(Announcement("b1", SERVICE, "127.0.0.1:1", 4))
@@ -264,12 +264,12 @@
 async def test_ingress_waits_at_the_full_backend_server_not_at_the_leaving_one(
     system: System,
 ) -> None:
-    """The draining one had the shorter queue, and the call was given up there."""
+    """The draining backend server had the shorter queue, and the call was refused there."""
     b1 = system.node_by_name["b1"]
     await system.until(lambda: all(n.state.loaded for n in system.node_by_name.values()))
     for task in b1._tasks:
         task.cancel()
-    system.backend_by_name["b2"].work = 0.1
+    system.backend_by_name["b2"].work_seconds = 0.1
     b1.gossip.announce = b1.gossip.leave
     b1.gossip.table.take_news = tuple
     b1.local_backend.draining_announced = True
@@ -287,13 +287,13 @@
 async def test_closing_waits_for_a_request_whose_caller_has_gone(
     system: System, no_grace: None
 ) -> None:
-    """It runs on for a repeat with the same key; closing cancelled it half done."""
+    """It must finish for a repeat with the same key; closing the node used to cancel it."""
     for backend in system.backend_by_name.values():
-        backend.work = 0.2
+        backend.work_seconds = 0.2
     key = await system.issue_key("a")
-    system.wire_by_name["caller"].plan("sent", "cut")
+    system.relay_by_name["caller"].inject("sent", "cut")
     await system.call(
-        system.wire_by_name["caller"].address, "r", method=b"POST", key=key, body=b"5"
+        system.relay_by_name["caller"].address, "r", method=b"POST", key=key, body=b"5"
     )
     await system.until(lambda: system.runs("r") == 1)
     assert await system.node_by_name.pop("a").close()
@@ -304,7 +304,7 @@
 async def test_closing_ends_though_a_client_library_swallows_the_cancel(
     system: System, no_grace: None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Then the log's reader went on for ever, and so did the node."""
+    """The log reader went on after such a cancellation, and the close never returned."""
     reading = asyncio.Event()
     for name, each in system.node_by_name.items():
         each.follower.is_reader = lambda n=name: n == "a"
--- a/tests/node/test_path.py
+++ b/tests/node/test_path.py
@@ -11,14 +11,14 @@
 from tests.node.harness import System
 
 if TYPE_CHECKING:
-    from tests.node.harness import Got
+    from tests.node.harness import CallerResult
 
 
 def ingress(system: System, name: str = "a") -> tuple[str, int]:
     return system.node_by_name[name].callers_address
 
 
-async def post(system: System, name: str, key: str, ingress_name: str = "a") -> Got:
+async def post(system: System, name: str, key: str, ingress_name: str = "a") -> CallerResult:
     return await system.call(
         ingress(system, ingress_name), name, method=b"POST", key=key, body=b"5"
     )
@@ -34,7 +34,7 @@
 async def test_concurrent_callers_each_get_their_own_answer(system: System) -> None:
     names = [f"r{number}" for number in range(40)]
     for backend in system.backend_by_name.values():
-        backend.work = 0.005
+        backend.work_seconds = 0.005
     got = await asyncio.gather(*(system.call(ingress(system), name) for name in names))
     for name, each in zip(names, got, strict=True):
         assert each.code != 0 or each.body.startswith(f"{name}|".encode())
@@ -43,29 +43,29 @@
 async def test_slots_are_never_exceeded(patient_system: System) -> None:
     system = patient_system
     for backend in system.backend_by_name.values():
-        backend.work = 0.02
+        backend.work_seconds = 0.02
     names = [f"r{number}" for number in range(60)]
     got = await asyncio.gather(
         *(system.call(ingress(system, "ac"[n % 2]), name) for n, name in enumerate(names))
     )
-    assert all(b.most_active <= 4 for b in system.backend_by_name.values())
+    assert all(b.max_active <= 4 for b in system.backend_by_name.values())
     refused = [each for each in got if each.code != 0]
     assert refused
-    odd = [each for each in refused if each.code not in (2001, 2005, 2007)]
-    assert odd == []
+    unexpected = [each for each in refused if each.code not in (2001, 2005, 2007)]
+    assert unexpected == []
     assert all(each.ran == "not-run" for each in refused)
     assert all(int(each.headers[b"hoisthook-retry-after-ms"]) >= 1 for each in refused)
-    # Answered ones may be hedged; refused ones did not run, not even once.
+    # Answered requests may have run twice because of a hedge; refused ones must not have run.
     for name, each in zip(names, got, strict=True):
         assert (system.runs(name) >= 1) == (each.code == 0)
 
 
 async def test_refused_request_is_answered_before_its_deadline(patient_system: System) -> None:
-    """No work ends before the first answer is read, so that answer cannot be one of them."""
+    """No work finishes before the first answer is read, so that answer must be a refusal."""
     system = patient_system
-    held = asyncio.Event()
+    release = asyncio.Event()
     for backend in system.backend_by_name.values():
-        backend.held = held
+        backend.release = release
     running = [
         asyncio.ensure_future(system.call(ingress(system), f"r{number}")) for number in range(20)
     ]
@@ -73,7 +73,7 @@
     assert [each.result().ran for each in done] == ["not-run"] * len(done)
     assert pending
     assert sum(backend.active for backend in system.backend_by_name.values()) > 0
-    held.set()
+    release.set()
     await asyncio.gather(*running)
 
 
@@ -113,7 +113,7 @@
 
 async def test_same_key_twice_at_the_same_time_runs_once(system: System) -> None:
     for backend in system.backend_by_name.values():
-        backend.work = 0.05
+        backend.work_seconds = 0.05
     key = await system.issue_key("a")
     got = await asyncio.gather(*(post(system, "r", key, "ac"[n % 2]) for n in range(6)))
     assert sorted(each.code for each in got) == [0, 3004, 3004, 3004, 3004, 3004]
@@ -122,11 +122,11 @@
 
 async def test_answer_that_its_caller_did_not_wait_for_is_kept(system: System) -> None:
     for backend in system.backend_by_name.values():
-        backend.work = 0.1
+        backend.work_seconds = 0.1
     key = await system.issue_key("a")
-    system.wire_by_name["caller"].plan("sent", "cut")
+    system.relay_by_name["caller"].inject("sent", "cut")
     first = await system.call(
-        system.wire_by_name["caller"].address, "r", method=b"POST", key=key, body=b"5"
+        system.relay_by_name["caller"].address, "r", method=b"POST", key=key, body=b"5"
     )
     assert first.status is None
     await system.until(lambda: system.runs("r") == 1)
@@ -152,16 +152,16 @@
 
 async def test_caller_that_goes_away_cancels_a_repeatable_request(system: System) -> None:
     for backend in system.backend_by_name.values():
-        backend.work = 0.35
-    system.wire_by_name["caller"].plan("sent", "cut")
-    await system.call(system.wire_by_name["caller"].address, "r")
+        backend.work_seconds = 0.35
+    system.relay_by_name["caller"].inject("sent", "cut")
+    await system.call(system.relay_by_name["caller"].address, "r")
     backends = system.backend_by_name.values()
     await system.until(lambda: sum(b.cancelled for b in backends) == 1)
 
 
 async def test_deadline_is_handed_down_and_cancels(system: System) -> None:
     for backend in system.backend_by_name.values():
-        backend.work = 5.0
+        backend.work_seconds = 5.0
     got = await system.call(ingress(system), "r", headers=[(b"hoisthook-timeout-ms", b"150")])
     assert (got.code, got.ran) == (3002, "unknown")
     heads = [head for b in system.backend_by_name.values() for head in b.headers]
@@ -172,12 +172,12 @@
 
 
 async def test_reused_connection_that_drops_is_not_sent_again(system: System) -> None:
-    """A hidden second send of a method that HTTP calls idempotent would run it twice."""
+    """Resending a method that HTTP defines as idempotent would run the request twice."""
     key = await system.issue_key("a")
     await system.call(ingress(system), "warm-1")
     await system.call(ingress(system), "warm-2")
     for backend in system.backend_by_name.values():
-        backend.die_after = b"HTTP"
+        backend.truncate_before = b"HTTP"
     got = await system.call(ingress(system), "r", method=b"PUT", key=key, body=b"5")
     assert got.ran == "unknown"
     assert system.runs("r") == 1
@@ -196,7 +196,7 @@
 async def test_broken_answer_is_never_a_complete_one(system: System, raw: bytes) -> None:
     for backend in system.backend_by_name.values():
         backend.raw_answer = lambda _: raw
-        backend.die_after = b"!"
+        backend.truncate_before = b"!"
         backend._answer = lambda name, body, raw=raw: raw
     key = await system.issue_key("a")
     got = await post(system, "r", key)
@@ -239,7 +239,7 @@
 
 
 async def test_late_repeatable_request_is_hedged(system: System) -> None:
-    system.backend_by_name["b1"].work = 0.3
+    system.backend_by_name["b1"].work_seconds = 0.3
     for number in range(20):
         got = await system.call(ingress(system), f"r{number}")
         assert got.code == 0
@@ -248,7 +248,7 @@
 
 async def test_non_repeatable_request_is_not_hedged(system: System) -> None:
     for backend in system.backend_by_name.values():
-        backend.work = 0.2
+        backend.work_seconds = 0.2
     key = await system.issue_key("a")
     assert (await post(system, "r", key)).code == 0
     assert system.runs("r") == 1
@@ -301,13 +301,13 @@
 async def test_node_whose_connections_drop_is_avoided_for_a_while(
     unhedged_system: System, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Each call that was lost there spent the retry budget of the next."""
+    """Each call that was lost at such a node spent retry budget that the next call needed."""
     system = unhedged_system
     monkeypatch.setattr(hop_client, "LOST_BACKOFF_SECONDS", 60.0)
-    system.backend_by_name["b2"].work = 0.02
+    system.backend_by_name["b2"].work_seconds = 0.02
     await asyncio.gather(*(system.call(ingress(system), f"warm{number}") for number in range(8)))
     await system.until(lambda: all(b.active == 0 for b in system.backend_by_name.values()))
-    wire = system.wire_by_name["b1-hop"]
-    await wire.restart(upstream=("127.0.0.1", 1))
+    relay = system.relay_by_name["b1-hop"]
+    await relay.restart(upstream=("127.0.0.1", 1))
     for number in range(10):
         assert (await system.call(ingress(system), f"r{number}")).code == 0
--- a/tests/process/test_platform_process.py
+++ b/tests/process/test_platform_process.py
@@ -78,10 +78,10 @@
     os.mkfifo(path)
     process = await start(path)
     # Opening for writing returns once the node has opened its settings for reading.
-    writer = await asyncio.to_thread(path.open, "wb")
+    settings_writer = await asyncio.to_thread(path.open, "wb")
     process.send_signal(signal.SIGHUP)
-    writer.write(settings(store))
-    writer.close()
+    settings_writer.write(settings(store))
+    settings_writer.close()
     await line_with(process, b'"started"')
     process.kill()
     await process.wait()
@@ -105,13 +105,13 @@
 
 
 def test_objects_loaded_at_start_are_frozen_for_the_collector() -> None:
-    told = subprocess.run(
+    output = subprocess.run(
         [sys.executable, "-c", "import gc, run_node; print(gc.isenabled(), gc.get_freeze_count())"],
         cwd=PROGRAM.parent,
         check=True,
         capture_output=True,
         text=True,
     )
-    is_enabled, frozen = told.stdout.split()
+    is_enabled, frozen = output.stdout.split()
     assert is_enabled == "True"
     assert int(frozen) > 10_000
--- a/tests/process/test_processes.py
+++ b/tests/process/test_processes.py
@@ -1,4 +1,4 @@
-"""Real processes and signals: kills, freezes, outages, rolling replacement."""
+"""Kills, freezes, outages and rolling replacement of real node processes."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Caller:
-    """Calls as a shopkeeper's portal would, through an ordinary HTTP client."""
+    """Calls nodes through an ordinary HTTP client, as a caller's application does."""
 
     def __init__(self, cluster: Cluster) -> None:
         self.cluster = cluster
@@ -43,7 +43,7 @@
     async def send(
         self, place: Place, name: str, *, key: str | None = None, work_ms: float = 1.0
     ) -> tuple[str, str]:
-        """Return the result header's number and whether it ran; "broken" where it broke."""
+        """Return the number of the result header, or "broken", and whether the request ran."""
         headers = {"hoisthook-service": SERVICE, "x-run": name, "x-work-ms": str(work_ms)}
         if key is not None:
             headers["idempotency-key"] = key
@@ -80,13 +80,13 @@
         await cluster.close()
 
 
-def kill(place: Place, number: signal.Signals) -> None:
+def send_signal(place: Place, number: signal.Signals) -> None:
     assert place.node_process is not None
     place.node_process.send_signal(number)
 
 
 async def running_place(caller: Caller, name: str) -> Place:
-    """Return where a request now runs."""
+    """Return the place whose backend server runs a request."""
     found: list[Place] = []
 
     async def runs_somewhere() -> bool:
@@ -106,7 +106,7 @@
     ingress, other = caller.cluster.of(INGRESS_SERVICE)
     key = await caller.key(ingress)
     sending = asyncio.ensure_future(caller.send(ingress, "once", key=key, work_ms=800))
-    kill(await running_place(caller, "once"), signal.SIGKILL)
+    send_signal(await running_place(caller, "once"), signal.SIGKILL)
     assert await sending == ("3001", "unknown")
     for place in (other, ingress, other):
         assert (await caller.send(place, "once", key=key))[1] == "unknown"
@@ -118,7 +118,7 @@
     key = await caller.key(ingress)
     sending = asyncio.ensure_future(caller.send(ingress, "once", key=key, work_ms=300))
     await running_place(caller, "once")
-    kill(ingress, signal.SIGKILL)
+    send_signal(ingress, signal.SIGKILL)
     assert (await sending)[0] == "broken"
     await ingress.node_process.wait()
     await caller.cluster.start_node(ingress)
@@ -137,10 +137,10 @@
     key = await caller.key(ingress)
     sending = asyncio.ensure_future(caller.send(ingress, "once", key=key, work_ms=200))
     await running_place(caller, "once")
-    kill(ingress, signal.SIGSTOP)
+    send_signal(ingress, signal.SIGSTOP)
     frozen = await caller.send(other, "once", key=key)
     assert frozen[1] == "unknown"
-    kill(ingress, signal.SIGCONT)
+    send_signal(ingress, signal.SIGCONT)
     await sending
     for place in (other, ingress):
         assert (await caller.send(place, "once", key=key))[1] in ("ran", "unknown")
@@ -152,11 +152,11 @@
 ) -> None:
     ingress = caller.cluster.of(INGRESS_SERVICE)[0]
     frozen = caller.cluster.of(SERVICE)[0]
-    kill(frozen, signal.SIGSTOP)
+    send_signal(frozen, signal.SIGSTOP)
     names = [f"r{number}" for number in range(12)]
     sending = [asyncio.ensure_future(caller.send(ingress, name)) for name in names]
     done, _ = await asyncio.wait(sending, timeout=2.0)
-    kill(frozen, signal.SIGCONT)
+    send_signal(frozen, signal.SIGCONT)
     got = await asyncio.gather(*sending)
     assert done
     for name, (_, ran) in zip(names, got, strict=True):
@@ -174,18 +174,19 @@
 
 async def test_rolling_replacement_of_all_nodes_cuts_nothing(caller: Caller) -> None:
     places = caller.cluster.places
-    busy = asyncio.Event()
-    bad: list[tuple[str, str]] = []
+    done = asyncio.Event()
+    failed: list[tuple[str, str]] = []
 
     async def keep_calling(ingress: Place) -> None:
         number = 0
-        while not busy.is_set():
+        while not done.is_set():
             number += 1
-            # A stall is 2.5 times the work: with 5 ms a machine that lets the only other backend
-            # server stand for 15 ms got refusals of a stall, which are no cut.
+            # A backend server counts as stalled after 2.5 times the expected work. With 5 ms of
+            # work, a pause of 15 ms of the only other backend server led to refusals for a
+            # stall, which this test would mistake for cut requests.
             got = await caller.send(ingress, f"{ingress.name}-{number}", work_ms=60)
             if got[0] != "0":
-                bad.append(got)
+                failed.append(got)
 
     ingress = caller.cluster.of(INGRESS_SERVICE)[0]
     calling = [asyncio.ensure_future(keep_calling(ingress)) for _ in range(3)]
@@ -194,9 +195,9 @@
         assert await stop(place.node_process) == 0
         await caller.cluster.start_node(place)
         await caller.cluster.wait_until_known()
-    busy.set()
+    done.set()
     await asyncio.gather(*calling)
-    assert bad == []
+    assert failed == []
 
 
 async def test_drain_with_the_log_out_sends_no_new_work(caller: Caller) -> None:
--- a/tests/process/test_system_calls.py
+++ b/tests/process/test_system_calls.py
@@ -1,4 +1,4 @@
-"""What a running node asks of the kernel, watched by strace."""
+"""The system calls of a running node, traced with strace."""
 
 from __future__ import annotations
 
@@ -62,10 +62,12 @@
         calls = [line.split("(", 1)[0] for line in lines]
         assert not FORBIDDEN & set(calls)
         assert calls.count("execve") == 1
-        opened = [line for line in lines if line.startswith("open") and WRITING.search(line)]
-        written = [line for line in opened if "/dev/null" not in line]
+        opened_for_writing = [
+            line for line in lines if line.startswith("open") and WRITING.search(line)
+        ]
+        written = [line for line in opened_for_writing if "/dev/null" not in line]
         if packed:
-            # Extension modules and the temporary folder's own trial, each deleted again.
+            # Extension modules and the probe file of `tempfile`, each deleted again.
             deleted = {name_in(line) for line in lines if line.startswith("unlink")}
             assert {name_in(line) for line in written} <= deleted
             assert all('"/tmp/' in line for line in written)
