--- a/src/hoisthook/node/crash_guard.py
+++ b/src/hoisthook/node/crash_guard.py
@@ -54,7 +54,7 @@
         self._exit_detector = ExitDetector(
             lambda: self._address, pool, lambda: self._takes_work, clock, log
         )
-        self._exit_detector.on_ended(self._crash_monitor.ended)
+        self._exit_detector.on_exit(self._crash_monitor.ended)
         self._clock = clock
         self._incarnation = incarnation
         self._address: Address = ("", 0)
@@ -67,9 +67,9 @@
         """Return the id of the backend server's current incarnation."""
         return InstanceId(f"{self._incarnation}/{self._restarts}")
 
-    def on_reported(self, listener: Callable[[], None]) -> None:
+    def on_crash_attributed(self, listener: Callable[[], None]) -> None:
         """Have ``listener`` called whenever a crash has been attributed to work."""
-        self._crash_monitor.on_reported(listener)
+        self._crash_monitor.on_crash_attributed(listener)
 
     def close(self) -> None:
         """Stop the checks in progress."""
@@ -91,7 +91,7 @@
 
     def lost(self, call: Call, instance: InstanceId) -> None:
         """Record that the connection broke while a call ran."""
-        self._exit_detector.broken(
+        self._exit_detector.request_lost(
             LostRequest(call.request_id, call.work, instance, self._clock.now())
         )
 
@@ -101,4 +101,4 @@
 
     def succeeded(self, call: Call) -> None:
         """Record that a call has succeeded."""
-        self._crash_monitor.ran_well(call)
+        self._crash_monitor.request_succeeded(call)
--- a/tests/node/test_leaving.py
+++ b/tests/node/test_leaving.py
@@ -271,7 +271,7 @@
         task.cancel()
     system.backend_by_name["b2"].work_seconds = 0.1
     b1.gossip.announce = b1.gossip.leave
-    b1.gossip.table.take_news = tuple
+    b1.gossip.table.take_updates = tuple
     b1.local_backend.draining_announced = True
     b1.local_backend._apply_announcement()
     holding = [
