--- a/src/hoisthook/node/crash_guard.py
+++ b/src/hoisthook/node/crash_guard.py
@@ -89,7 +89,7 @@
         """Return a refusal if several backend servers have crashed while running this work."""
         return self._crash_monitor.refuse(call)
 
-    def lost(self, call: Call, instance: InstanceId) -> None:
+    def request_lost(self, call: Call, instance: InstanceId) -> None:
         """Record that the connection broke while a call ran."""
         self._exit_detector.request_lost(
             LostRequest(call.request_id, call.work, instance, self._clock.now())
@@ -99,6 +99,6 @@
         """Record that an incarnation answered a request that was sent to it at ``sent_at``."""
         self._exit_detector.answered(instance, sent_at)
 
-    def succeeded(self, call: Call) -> None:
+    def request_succeeded(self, call: Call) -> None:
         """Record that a call has succeeded."""
         self._crash_monitor.request_succeeded(call)
--- a/src/hoisthook/node/local_backend.py
+++ b/src/hoisthook/node/local_backend.py
@@ -249,7 +249,7 @@
             failed = None if deadline_passed or attempt.abandoned else True
             self._release(ticket, connection, keep=False, failed=failed)
             if failed and call.is_complete:
-                self._crashes.lost(call, instance)
+                self._crashes.request_lost(call, instance)
             return Lost(ResultCode.DEADLINE_DURING_RUN) if deadline_passed else head
         self._crashes.answered(instance, now)
         if head.status == SHED_STATUS and head.get(wire.SHED) is not None:
@@ -266,7 +266,7 @@
             exchanger.stop()
             self.finished += 1
             if fully_read and not failed and call.is_complete:
-                self._crashes.succeeded(call)
+                self._crashes.request_succeeded(call)
             self._release(ticket, connection, keep=fully_read, failed=failed)
 
         return Answer(head, connection.body, self.backend_server, finish)
