--- a/tests/node/test_hedge_race.py
+++ b/tests/node/test_hedge_race.py
@@ -19,7 +19,7 @@
 
 
 def answer() -> Answer:
-    return Answer(AnswerHead(200, []), BodyStream(Source()), "b", lambda whole: None)
+    return Answer(AnswerHead(200, []), BodyStream(Source()), "b", lambda fully_read: None)
 
 
 async def test_finished_first_attempt_is_not_abandoned_when_the_hedge_answers() -> None:
--- a/tests/node/test_path.py
+++ b/tests/node/test_path.py
@@ -214,9 +214,9 @@
 
 
 async def test_surplus_bytes_reach_no_other_caller(system: System) -> None:
-    whole = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
+    complete = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
     for backend in system.backend_by_name.values():
-        backend.raw_answer = lambda name: whole.replace(b"ok", name[-2:].encode()) + whole
+        backend.raw_answer = lambda name: complete.replace(b"ok", name[-2:].encode()) + complete
     for number in range(10, 30):
         got = await system.call(ingress(system), f"r{number}")
         assert got.status is None or got.code != 0 or got.body == str(number).encode()
