--- a/tests/node/test_crashing_requests.py
+++ b/tests/node/test_crashing_requests.py
@@ -61,7 +61,9 @@
     return sorted(system.backend_by_name.items())
 
 
-async def test_work_that_crashes_backend_servers_is_refused_in_the_end(system: System) -> None:
+async def test_work_that_crashes_backend_servers_is_not_forwarded_indefinitely(
+    system: System,
+) -> None:
     got = [await send_and_restart(system, number) for number in range(CALLS)]
     assert system.runs(CRASHING) <= MAX_CRASHES
     assert got[-1].code == ResultCode.WORK_ENDS_SERVERS.number
