--- a/benchmark/__init__.py
+++ b/benchmark/__init__.py
@@ -1,3 +1,3 @@
-"""Measurements; every figure is printed with the command that gave it."""
+"""Benchmarks and simulations that are run by hand; each module describes its command and output."""
 
 from __future__ import annotations
--- a/benchmark/ablation.py
+++ b/benchmark/ablation.py
@@ -1,4 +1,7 @@
-"""What each decision is worth in the model: load patterns played with it and without it.
+"""Ablation study of admission: simulates the load patterns with each mechanism disabled in turn.
+
+Prints a Markdown table: for each disabled mechanism and load pattern the mean of
+`LoadResults.share` over the seeds.
 
 Run as ``python -m benchmark.ablation [SEEDS]`` from the repository's root.
 """
@@ -26,45 +29,45 @@
 
 PATTERNS = Path(__file__).parent / "patterns"
 DEFAULT_SEEDS = 4
-NEVER = 1_000_000
-
-# Each mechanism: where it is, and what stands there when it is switched off.
-Switch = tuple[object, str, object]
-SWITCH_BY_MECHANISM: dict[str, Switch] = {
-    "reads by chance of change": (admission_policy, "MAX_BLIND_CHANCE", 1.0),
-    "short slow moments waited out": (ServerSpeed, "is_worth_holding", lambda *_: False),
-    "long slow moments not waited out": (
+UNREACHABLE_COUNT = 1_000_000
+
+# Owner of an attribute, the attribute's name, and the value that disables the mechanism.
+Replacement = tuple[object, str, object]
+REPLACEMENT_BY_MECHANISM: dict[str, Replacement] = {
+    "load read when a change of speed is likely": (admission_policy, "MAX_BLIND_CHANCE", 1.0),
+    "requests held during short slow periods": (ServerSpeed, "is_worth_holding", lambda *_: False),
+    "requests not held during long slow periods": (
         ServerSpeed,
         "is_worth_holding",
         lambda speed, _work, _now: speed.slow_periods.is_slow,
     ),
-    "cold start told from slow moments": (SlowPeriods, "base", property(lambda _: 1.0)),
-    "pace learned": (ServerSpeed, "pace", lambda *_: 1.0),
-    "overdue work": (priority_gate, "MIN_STALLED", NEVER),
-    "room for the spread of work": (WorkTimes, "spread", lambda *_: 0.0),
-    "in time before late": (
+    "cold start distinguished from slow periods": (SlowPeriods, "base", property(lambda _: 1.0)),
+    "speed ratio learned": (ServerSpeed, "pace", lambda *_: 1.0),
+    "overdue requests": (priority_gate, "MIN_STALLED", UNREACHABLE_COUNT),
+    "margin for the spread of service times": (WorkTimes, "spread", lambda *_: 0.0),
+    "requests in time before late ones": (
         priority_gate.PriorityGate,
         "_order",
         lambda _gate, demand, _now: (False, demand.priority, demand.due),
     ),
-    "refused at once by forecast": (
+    "rejected at once by forecast": (
         priority_gate.PriorityGate,
         "forecast_start",
         lambda gate, *_: gate._clock.now(),
     ),
-    "reads while requests are held": (admitter, "HOLDING_READ_SECONDS", 0.5),
+    "frequent load reads while requests are held": (admitter, "HOLDING_READ_SECONDS", 0.5),
 }
 
 
 def main() -> None:
-    """Print the table."""
+    """Print the table for the number of seeds given on the command line."""
     seeds = int(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_SEEDS
     patterns = [load_pattern(path) for path in sorted(PATTERNS.glob("*.toml"))]
     names = " | ".join(pattern.name for pattern in patterns)
-    sys.stdout.write(f"| switched off | {names} |\n|{'---|' * (len(patterns) + 1)}\n")
+    sys.stdout.write(f"| disabled mechanism | {names} |\n|{'---|' * (len(patterns) + 1)}\n")
     _write_row("nothing", patterns, seeds)
-    for mechanism, switch in SWITCH_BY_MECHANISM.items():
-        with _switched_off(switch):
+    for mechanism, replacement in REPLACEMENT_BY_MECHANISM.items():
+        with _replaced(replacement):
             _write_row(mechanism, patterns, seeds)
 
 
@@ -79,14 +82,14 @@
 
 
 @contextmanager
-def _switched_off(switch: Switch) -> Iterator[None]:
-    owner, name, replacement = switch
-    kept = vars(owner)[name]
-    setattr(owner, name, replacement)
+def _replaced(replacement: Replacement) -> Iterator[None]:
+    owner, name, value = replacement
+    original = vars(owner)[name]
+    setattr(owner, name, value)
     try:
         yield
     finally:
-        setattr(owner, name, kept)
+        setattr(owner, name, original)
 
 
 if __name__ == "__main__":
--- a/benchmark/capacity.py
+++ b/benchmark/capacity.py
@@ -1,9 +1,9 @@
-"""Slopes behind docs/CAPACITY.md: state, messages and processor time at several sizes.
+"""Growth of state, message sizes and processor time, as reported in docs/CAPACITY.md.
 
 Usage: python -m benchmark.capacity [--json FILE]
 
-Each slope is measured at three or more sizes on the product's own objects and
-codecs, and extrapolated in a straight line to the target's size.
+Each quantity is measured at three or more sizes on the product's own objects and
+codecs, and extrapolated linearly to the size of the target deployment.
 """
 
 from __future__ import annotations
@@ -45,31 +45,31 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-NODES = 24_000
-SERVICES = 3_700
+TARGET_NODES = 24_000
+TARGET_SERVICES = 3_700
 TARGET_KEYS = 50_000
-READERS = 2 * 29
+TARGET_READERS = 2 * 29
 MEMBER_SIZES = (500, 2_000, 8_000)
 SERVICE_SIZES = (100, 400, 1_600)
 KEY_SIZES = (1_000, 4_000, 16_000)
 SENDER_SIZES = (500, 2_000, 8_000)
-REPEATS = 200
+CALLS_PER_BATCH = 200
 
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """One quantity at several sizes, and at the target's.
+    """One quantity measured at several sizes, extrapolated to the target size.
 
     Attributes
     ----------
     name : str
-        What was measured.
+        Name of the quantity.
     unit : str
-        Of the values.
+        Unit of the values.
     sizes, values : tuple
-        What was measured, pair by pair.
+        Sizes, and the value measured at each.
     target : int
-        The target's size.
+        Size in the target deployment.
     """
 
     name: str
@@ -80,41 +80,41 @@
 
     @property
     def at_target(self) -> float:
-        """Return the straight line's value at the target's size."""
+        """Return the value of the least-squares line at the target size."""
         count = len(self.sizes)
         mean_x = sum(self.sizes) / count
         mean_y = sum(self.values) / count
-        above = sum(
+        covariance = sum(
             (x - mean_x) * (y - mean_y) for x, y in zip(self.sizes, self.values, strict=True)
         )
-        below = sum((x - mean_x) ** 2 for x in self.sizes)
-        return mean_y + above / below * (self.target - mean_x)
+        variance = sum((x - mean_x) ** 2 for x in self.sizes)
+        return mean_y + covariance / variance * (self.target - mean_x)
 
 
 def member(number: int, status: MemberStatus = MemberStatus.ALIVE) -> Member:
-    """Return the record of one of many nodes."""
+    """Return the member record of a node."""
     return Member(
-        node=f"svc-{number % SERVICES}-{number}",
+        node=f"svc-{number % TARGET_SERVICES}-{number}",
         incarnation=f"{number:016x}",
         version=1_796_000_000_000 + number,
         address=f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:7200",
         data_centre=f"dc-{number % 29}",
         status=status,
-        backend_server=f"svc-{number % SERVICES}-{number}",
-        service=f"svc-{number % SERVICES}",
+        backend_server=f"svc-{number % TARGET_SERVICES}-{number}",
+        service=f"svc-{number % TARGET_SERVICES}",
         slots=12,
         takes_work=True,
     )
 
 
 def spec(number: int) -> ServiceSpec:
-    """Return the specification of one of many services."""
+    """Return the specification of a service."""
     operations = (OperationSpec("POST", "/search", repeatable=True),)
     return ServiceSpec(f"svc-{number}", operations, timeout_ms=1_000 + number)
 
 
 def table_of(count: int) -> MemberTable:
-    """Return a table that knows ``count`` nodes."""
+    """Return a member table of ``count`` nodes."""
     table = MemberTable(member(0), random.Random(1))
     for number in range(1, count):
         table.merge(member(number), 0.0)
@@ -130,30 +130,30 @@
     return state
 
 
-def memory_of(make: Callable[[int], object], size: int) -> float:
-    """Return the megabytes that an object of a size holds."""
+def memory_mb(factory: Callable[[int], object], size: int) -> float:
+    """Return the megabytes that an object of the given size holds."""
     gc.collect()
     tracemalloc.start()
-    kept = make(size)
+    held = factory(size)
     gc.collect()
     used, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del kept
+    del held
     return used / 1e6
 
 
-def micros_of(run: Callable[[], object], repeats: int = REPEATS) -> float:
-    """Return the processor microseconds of one call, the least of three batches."""
+def cpu_micros(call: Callable[[], object], repeats: int = CALLS_PER_BATCH) -> float:
+    """Return the processor microseconds of one call: the minimum of three batch means."""
     best = float("inf")
     for _ in range(3):
-        begin = time.process_time()
+        started_at = time.process_time()
         for _ in range(repeats):
-            run()
-        best = min(best, (time.process_time() - begin) / repeats * 1e6)
+            call()
+        best = min(best, (time.process_time() - started_at) / repeats * 1e6)
     return best
 
 
-def registered_keys(count: int) -> KeyRegister:
+def key_register_of(count: int) -> KeyRegister:
     """Return a register with ``count`` answered keys."""
     register = KeyRegister("n", "i", LoopClock(), random.Random(1), max_records=count + 1)  # type: ignore[arg-type]
     answer = KeptAnswer(200, ((b"content-type", b"application/json"),), b"x" * 200, "b")
@@ -162,14 +162,14 @@
         assert key is not None
         claim = register.claim(key, "svc", b"f" * 16)  # type: ignore[arg-type]
         assert isinstance(claim, Claimed)
-        # Each kept answer is an object of its own, as in service.
-        kept = KeptAnswer(200, answer.headers, bytes(bytearray(answer.body)), "b")
-        register.answered(claim.record, kept)
+        # As in a running node, stored answers do not share their body.
+        held = KeptAnswer(200, answer.headers, bytes(bytearray(answer.body)), "b")
+        register.answered(claim.record, held)
     return register
 
 
-def seen_senders(count: int) -> ReplayWindow:
-    """Return a window that has seen ``count`` senders."""
+def replay_window_of(count: int) -> ReplayWindow:
+    """Return a replay window with three messages from each of ``count`` senders."""
     window = ReplayWindow()
     for sender in range(count):
         for number in range(3):
@@ -178,37 +178,37 @@
 
 
 def memory_slopes() -> list[Slope]:
-    """Return the slopes of state."""
-    kinds: list[tuple[str, Callable[[int], object], tuple[int, ...], int]] = [
-        ("member table", table_of, MEMBER_SIZES, NODES),
-        ("configuration", state_of, SERVICE_SIZES, SERVICES),
-        ("idempotency keys", registered_keys, KEY_SIZES, TARGET_KEYS),
-        ("replay windows", seen_senders, SENDER_SIZES, NODES),
+    """Measure the memory of the state that a node holds."""
+    quantities: list[tuple[str, Callable[[int], object], tuple[int, ...], int]] = [
+        ("member table", table_of, MEMBER_SIZES, TARGET_NODES),
+        ("configuration", state_of, SERVICE_SIZES, TARGET_SERVICES),
+        ("idempotency keys", key_register_of, KEY_SIZES, TARGET_KEYS),
+        ("replay windows", replay_window_of, SENDER_SIZES, TARGET_NODES),
     ]
     return [
-        Slope(name, "MB", sizes, tuple(memory_of(make, size) for size in sizes), target)
-        for name, make, sizes, target in kinds
+        Slope(name, "MB", sizes, tuple(memory_mb(factory, size) for size in sizes), target)
+        for name, factory, sizes, target in quantities
     ]
 
 
 def time_slopes() -> list[Slope]:
-    """Return the slopes of processor time."""
+    """Measure the processor time of frequent operations."""
     tables = [table_of(size) for size in MEMBER_SIZES]
     routers = [Router(table, ExpectedTime(random.Random(1))) for table in tables]
-    choose = [micros_of(partial(r.choose, "svc-1", (), 1.0), 2_000) for r in routers]
-    readers = [micros_of(partial(is_reader, t, 2), 20) for t in tables]
-    expire = [micros_of(partial(t.expire, 1.0), 20) for t in tables]
+    choose = [cpu_micros(partial(r.choose, "svc-1", (), 1.0), 2_000) for r in routers]
+    readers = [cpu_micros(partial(is_reader, t, 2), 20) for t in tables]
+    expire = [cpu_micros(partial(t.expire, 1.0), 20) for t in tables]
     merge = [_merge_micros(table) for table in tables]
-    full = [micros_of(partial(_encode_table, t), 5) for t in tables]
+    encode_tables = [cpu_micros(partial(_encode_table, t), 5) for t in tables]
     states = [state_of(size) for size in SERVICE_SIZES]
-    snapshots = [micros_of(partial(_encode_snapshot, s), 5) for s in states]
+    snapshots = [cpu_micros(partial(_encode_snapshot, s), 5) for s in states]
     return [
-        Slope("choose a backend server", "us", MEMBER_SIZES, tuple(choose), NODES),
-        Slope("is this node a reader", "us", MEMBER_SIZES, tuple(readers), NODES),
-        Slope("look for the silent", "us", MEMBER_SIZES, tuple(expire), NODES),
-        Slope("take in one exchange", "us", MEMBER_SIZES, tuple(merge), NODES),
-        Slope("encode the whole table", "us", MEMBER_SIZES, tuple(full), NODES),
-        Slope("encode a snapshot", "us", SERVICE_SIZES, tuple(snapshots), SERVICES),
+        Slope("choose a backend server", "us", MEMBER_SIZES, tuple(choose), TARGET_NODES),
+        Slope("is this node a reader", "us", MEMBER_SIZES, tuple(readers), TARGET_NODES),
+        Slope("find nodes to suspect or remove", "us", MEMBER_SIZES, tuple(expire), TARGET_NODES),
+        Slope("apply one gossip exchange", "us", MEMBER_SIZES, tuple(merge), TARGET_NODES),
+        Slope("encode the complete table", "us", MEMBER_SIZES, tuple(encode_tables), TARGET_NODES),
+        Slope("encode a snapshot", "us", SERVICE_SIZES, tuple(snapshots), TARGET_SERVICES),
     ]
 
 
@@ -222,60 +222,66 @@
 
 def _merge_micros(table: MemberTable) -> float:
     gossip = Gossip(table, None, LoopClock(), random.Random(1), seeds=[], interval=0.5)  # type: ignore[arg-type]
-    news = tuple(member(number) for number in range(1, 13))
-    message = msgspec.json.encode(Exchange(member(1), news, 0, 0))
+    members = tuple(member(number) for number in range(1, 13))
+    message = msgspec.json.encode(Exchange(member(1), members, 0, 0))
 
-    def take_in() -> None:
+    def apply_exchange() -> None:
         answer = gossip.receive(msgspec.json.decode(message, type=Exchange))
         msgspec.json.encode(answer)
 
-    return micros_of(take_in)
+    return cpu_micros(apply_exchange)
 
 
 def byte_slopes() -> list[Slope]:
-    """Return the slopes of message sizes."""
+    """Measure the sizes of messages."""
     tables = [len(msgspec.json.encode(tuple(table_of(size)))) for size in MEMBER_SIZES]
     states = [len(msgspec.json.encode(state_of(size).snapshot())) for size in SERVICE_SIZES]
-    news = [
+    members = [
         len(msgspec.json.encode(Exchange(member(0), tuple(map(member, range(count))), 0, 0)))
         for count in (0, 6, 12)
     ]
     return [
-        Slope("whole table", "bytes", MEMBER_SIZES, tuple(map(float, tables)), NODES),
-        Slope("snapshot", "bytes", SERVICE_SIZES, tuple(map(float, states)), SERVICES),
-        Slope("exchange with news", "bytes", (0, 6, 12), tuple(map(float, news)), 12),
+        Slope("complete table", "bytes", MEMBER_SIZES, tuple(map(float, tables)), TARGET_NODES),
+        Slope("snapshot", "bytes", SERVICE_SIZES, tuple(map(float, states)), TARGET_SERVICES),
+        Slope(
+            "gossip exchange with member updates",
+            "bytes",
+            (0, 6, 12),
+            tuple(map(float, members)),
+            12,
+        ),
     ]
 
 
-def spread_rounds(count: int, informed: int, seed: int) -> int:
-    """Return after how many rounds all of ``count`` nodes know what some know at first.
+def gossip_rounds(count: int, initial_nodes: int, seed: int) -> int:
+    """Return the number of gossip rounds until all of ``count`` nodes have an update.
 
-    Each node exchanges with one random node a round, both ways, as gossip does; this
-    is the arithmetic of chance alone, without clocks, delays or failures.
+    ``initial_nodes`` nodes have it at first. In a round each node exchanges with one
+    random node, in both directions. Clocks, delays and failures are not simulated.
     """
-    draw = random.Random(seed)
-    knows = bytearray(count)
-    knows[:informed] = b"\1" * informed
+    rng = random.Random(seed)
+    has_update = bytearray(count)
+    has_update[:initial_nodes] = b"\1" * initial_nodes
     rounds = 0
-    while not all(knows):
+    while not all(has_update):
         rounds += 1
-        before = bytes(knows)
+        had_update = bytes(has_update)
         for node in range(count):
-            other = draw.randrange(count)
-            if before[node] or before[other]:
-                knows[node] = knows[other] = 1
+            peer = rng.randrange(count)
+            if had_update[node] or had_update[peer]:
+                has_update[node] = has_update[peer] = 1
     return rounds
 
 
-def spread_slope(name: str, informed: int) -> Slope:
-    """Return the rounds that news takes, at sizes up to the target's own."""
-    sizes = (500, 2_000, 8_000, NODES)
-    rounds = tuple(float(max(spread_rounds(n, informed, s) for s in range(3))) for n in sizes)
-    return Slope(name, "rounds", sizes, rounds, NODES)
+def gossip_slope(name: str, initial_nodes: int) -> Slope:
+    """Simulate the rounds until an update reaches all nodes; the largest of three seeds."""
+    sizes = (500, 2_000, 8_000, TARGET_NODES)
+    rounds = tuple(float(max(gossip_rounds(n, initial_nodes, s) for s in range(3))) for n in sizes)
+    return Slope(name, "rounds", sizes, rounds, TARGET_NODES)
 
 
 def table_lines(slopes: list[Slope]) -> list[str]:
-    """Return the slopes as a Markdown table."""
+    """Return the lines of a Markdown table of the slopes."""
     lines = ["| quantity | unit | measured (size: value) | target size | at the target |"]
     lines.append("|---|---|---|---|---|")
     for slope in slopes:
@@ -286,13 +292,13 @@
 
 
 def main() -> None:
-    """Measure all slopes and print them."""
+    """Measure all slopes, print them, and write them to the file of ``--json``."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--json", type=Path)
     arguments = parser.parse_args()
     slopes = [*memory_slopes(), *time_slopes(), *byte_slopes()]
-    slopes.append(spread_slope("rounds until all know a node's news", 1))
-    slopes.append(spread_slope("rounds until all know the readers' news", READERS))
+    slopes.append(gossip_slope("rounds until an update of one node reaches all", 1))
+    slopes.append(gossip_slope("rounds until an update of the readers reaches all", TARGET_READERS))
     sys.stdout.write("\n".join(table_lines(slopes)) + "\n")
     if arguments.json is not None:
         arguments.json.write_bytes(msgspec.json.encode(slopes))
--- a/benchmark/latency.py
+++ b/benchmark/latency.py
@@ -1,9 +1,10 @@
-"""Time that hoisthook adds to a call, and what an idle node costs.
+"""Latency that hoisthook adds to a call, and resource use of an idle node.
 
 Usage: python -m benchmark.latency [--rate R] [--seconds S] [--seva]
 
-Direct calls and calls through hoisthook alternate in one run, at one open-loop
-rate. Calls enter at nodes of other services, so each takes both hops.
+Direct calls and calls through hoisthook alternate in one open-loop run at a fixed
+rate. Calls enter at nodes of other services, so each passes an
+ingress node and the node of a backend server.
 """
 
 from __future__ import annotations
@@ -34,18 +35,18 @@
 
 
 async def measure(cluster: Cluster, rate: float, seconds: float) -> dict[str, object]:
-    """Return all figures of one run."""
+    """Run the load and return all results by name."""
     service = next(iter(cluster.deployment.count_by_service))
-    serving = cluster.of(service)
-    entries = [place for place in cluster.places if place.service != service]
+    service_nodes = cluster.of(service)
+    ingress_nodes = [node for node in cluster.places if node.service != service]
     await asyncio.sleep(SETTLE_SECONDS)
     idle = await _idle_costs(cluster)
     plan = Plan(
         targets=[
-            Target("direct", [("127.0.0.1", p.backend) for p in serving], {"host": "b"}),
+            Target("direct", [("127.0.0.1", p.backend) for p in service_nodes], {"host": "b"}),
             Target(
                 "hoisthook",
-                [("127.0.0.1", p.callers) for p in entries],
+                [("127.0.0.1", p.callers) for p in ingress_nodes],
                 {"host": "h", "hoisthook-service": service},
             ),
         ],
@@ -58,7 +59,7 @@
     merged = await run_load(plan)
     after = _usages(cluster)
     calls = max(1, merged["hoisthook"].sent)
-    spent = sum(a.cpu_seconds - b.cpu_seconds for a, b in zip(after, before, strict=True))
+    cpu_seconds = sum(a.cpu_seconds - b.cpu_seconds for a, b in zip(after, before, strict=True))
     rows: dict[str, object] = {"rate": rate, "seconds": seconds, "work_ms": WORK_MS}
     for percentile in PERCENTILES:
         direct = merged["direct"].millis(percentile)
@@ -70,11 +71,11 @@
         }
     rows["results"] = merged["hoisthook"].count_by_result
     rows["direct_results"] = merged["direct"].count_by_result
-    share = (seconds + 2.0) / seconds
-    rows["node_cpu_ms_per_call"] = round(spent / (calls * share) * 1000.0, 3)
-    rows["resident_mb"] = round(max(u.resident_bytes for u in after) / 1e6, 1)
+    warm_up_factor = (seconds + 2.0) / seconds
+    rows["node_cpu_ms_per_call"] = round(cpu_seconds / (calls * warm_up_factor) * 1000.0, 3)
+    rows["resident_mb"] = round(max(usage.resident_bytes for usage in after) / 1e6, 1)
     rows["idle"] = idle
-    rows["measuring"] = await _measuring(cluster)
+    rows["measuring"] = await _measuring_costs(cluster)
     return rows
 
 
@@ -89,23 +90,23 @@
     return {
         "cpu_percent_mean": round(sum(shares) / len(shares), 2),
         "cpu_percent_max": round(max(shares), 2),
-        "resident_mb_max": round(max(u.resident_bytes for u in after) / 1e6, 1),
+        "resident_mb_max": round(max(usage.resident_bytes for usage in after) / 1e6, 1),
         "loopback_kb_per_s_per_node": round(
             (octets_after - octets) / IDLE_SECONDS / len(cluster.places) / 1000.0, 2
         ),
     }
 
 
-async def _measuring(cluster: Cluster) -> dict[str, object]:
-    requests, size, spent = 0, 0, 0.0
-    for place in cluster.places:
+async def _measuring_costs(cluster: Cluster) -> dict[str, object]:
+    requests, size, cpu_seconds = 0, 0, 0.0
+    for node in cluster.places:
         status = await operator_call(
-            place.operators, lambda stub: stub.NodeStatus(pb.NodeStatusRequest())
+            node.operators, lambda stub: stub.NodeStatus(pb.NodeStatusRequest())
         )
         requests += status.measure_requests
         size += status.measure_bytes
-        spent += status.measure_seconds
-    return {"requests": requests, "bytes": size, "seconds": round(spent, 3)}
+        cpu_seconds += status.measure_seconds
+    return {"requests": requests, "bytes": size, "seconds": round(cpu_seconds, 3)}
 
 
 def _usages(cluster: Cluster) -> list[Usage]:
@@ -113,7 +114,7 @@
 
 
 def print_table(rows: dict[str, object]) -> None:
-    """Print the figures as a table and then as JSON."""
+    """Print the percentiles as a table, the other results, and then all results as JSON."""
     sys.stdout.write("percentile  direct ms  hoisthook ms  added ms\n")
     for percentile in PERCENTILES:
         row = rows[f"p{percentile:g}"]
@@ -128,7 +129,7 @@
 
 
 async def run(arguments: argparse.Namespace) -> None:
-    """Start a cluster, measure, stop."""
+    """Start a cluster, measure, close the cluster and print the results."""
     deployment = SEVA if arguments.seva else TERANGA
     cluster = Cluster(deployment, Options(work_ms=WORK_MS))
     try:
@@ -142,7 +143,9 @@
 def main() -> None:
     """Run the benchmark."""
     parser = argparse.ArgumentParser()
-    parser.add_argument("--rate", type=float, default=200.0, help="calls a second, both kinds")
+    parser.add_argument(
+        "--rate", type=float, default=200.0, help="calls per second, direct ones included"
+    )
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument("--seva", action="store_true")
     asyncio.run(run(parser.parse_args()))
--- a/benchmark/load.py
+++ b/benchmark/load.py
@@ -1,8 +1,8 @@
-"""One process of open-loop load: arrivals are not held back by answers.
+"""Open-loop load generator: calls are sent on schedule, whether or not earlier ones are answered.
 
 Reads a `Plan` as JSON from standard input and writes a `Report` as JSON to
-standard output. Times count from the moment at which a call was due, so a
-generator or server that lags shows as latency.
+standard output. Latencies are measured from the time at which a call was due, so that
+delays of the generator or of a server are included.
 """
 
 from __future__ import annotations
@@ -20,22 +20,22 @@
 from hoisthook.exceptions import BrokenExchangeError
 from hoisthook.exceptions import UnreachableError
 
-LOWEST_MICROS = 1
-HIGHEST_MICROS = 60_000_000
-DIGITS = 3
-CONNECT_SECONDS = 1.0
-ANSWER_SECONDS = 10.0
+MIN_LATENCY_US = 1
+MAX_LATENCY_US = 60_000_000
+SIGNIFICANT_DIGITS = 3
+CONNECT_TIMEOUT_SECONDS = 1.0
+ANSWER_TIMEOUT_SECONDS = 10.0
 
 
 class Target(msgspec.Struct):
-    """Where calls of one kind go.
+    """Destination of one kind of calls.
 
     Attributes
     ----------
     name : str
-        Names the kind in the report.
+        Name of the kind in the report.
     addresses : list of (str, int)
-        One is drawn for each call.
+        Host and port; each call goes to a random one.
     headers : dict of str to str
         Sent with each call.
     """
@@ -46,7 +46,19 @@
 
 
 class Plan(msgspec.Struct):
-    """What to send: ``rate`` calls a second, the targets in turn."""
+    """A load to send, to the targets in turn.
+
+    Attributes
+    ----------
+    targets : list of Target
+        At least one.
+    rate : float
+        Mean of the Poisson arrivals, in calls per second over all targets.
+    seconds, warm_up_seconds : float
+        Duration of the load that is counted, and of that before it.
+    seed : int
+        Of the arrivals and of the choice of addresses.
+    """
 
     targets: list[Target]
     rate: float
@@ -55,8 +67,8 @@
     seed: int
 
 
-class Kind(msgspec.Struct):
-    """What came of one kind of calls."""
+class KindResults(msgspec.Struct):
+    """Results of one kind of calls; the histogram is encoded, in microseconds."""
 
     sent: int = 0
     answered: int = 0
@@ -66,42 +78,42 @@
 
 
 class Report(msgspec.Struct):
-    """All kinds by name, and how late the generator itself was."""
+    """Results by kind, and the encoded histogram of the delays of the generator itself."""
 
-    kind_by_name: dict[str, Kind]
+    kind_by_name: dict[str, KindResults]
     lag: str
 
 
 def new_histogram() -> HdrHistogram:
     """Return an empty histogram of microseconds."""
-    return HdrHistogram(LOWEST_MICROS, HIGHEST_MICROS, DIGITS)
+    return HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
 class Generator:
-    """Sends a plan's calls and collects what comes of them."""
+    """Sends the calls of a plan and collects their results."""
 
     def __init__(self, plan: Plan) -> None:
         self._plan = plan
         self._random = random.Random(plan.seed)
         self._pool = ClientPool()
-        self._kind_by_name = {target.name: Kind() for target in plan.targets}
+        self._kind_by_name = {target.name: KindResults() for target in plan.targets}
         self._histogram_by_name = {target.name: new_histogram() for target in plan.targets}
         self._lag = new_histogram()
 
     async def run(self) -> Report:
-        """Send everything and return the report."""
+        """Send all calls, await their answers and return the report."""
         plan = self._plan
-        begin = time.monotonic()
-        count_from = begin + plan.warm_up_seconds
-        end = count_from + plan.seconds
-        due = begin
+        started_at = time.monotonic()
+        counted_from = started_at + plan.warm_up_seconds
+        end = counted_from + plan.seconds
+        due = started_at
         tasks: set[asyncio.Task[None]] = set()
-        turn = 0
+        number = 0
         while (due := due + self._random.expovariate(plan.rate)) < end:
             await self._sleep_until(due)
-            target = plan.targets[turn % len(plan.targets)]
-            turn += 1
-            task = asyncio.ensure_future(self._call(target, due, counted=due >= count_from))
+            target = plan.targets[number % len(plan.targets)]
+            number += 1
+            task = asyncio.ensure_future(self._call(target, due, counted=due >= counted_from))
             tasks.add(task)
             task.add_done_callback(tasks.discard)
         await asyncio.gather(*tasks)
@@ -123,8 +135,8 @@
         attempts = 0
         status = 0
         try:
-            async with asyncio.timeout(ANSWER_SECONDS):
-                connection = await self._pool.acquire(address, CONNECT_SECONDS)
+            async with asyncio.timeout(ANSWER_TIMEOUT_SECONDS):
+                connection = await self._pool.acquire(address, CONNECT_TIMEOUT_SECONDS)
                 try:
                     head = await connection.send(request)
                     while await connection.body.read():
@@ -152,7 +164,7 @@
 
 
 def main() -> None:
-    """Run the plan on standard input."""
+    """Run the plan read from standard input and write the report."""
     plan = msgspec.json.decode(sys.stdin.buffer.read(), type=Plan)
     report = asyncio.run(Generator(plan).run())
     sys.stdout.buffer.write(msgspec.json.encode(report))
--- a/benchmark/mesh_capacity.py
+++ b/benchmark/mesh_capacity.py
@@ -1,9 +1,9 @@
-"""Measures how the state and work of a node on the platform grow with the deployment.
+"""Measures how memory, message sizes and processor time of a node grow with the deployment.
 
 Usage: PYTHONPATH=src:platform python -m benchmark.mesh_capacity
 
 Prints a Markdown table: for each quantity its value at several sizes. docs/CAPACITY.md
-works out from it what the users' target needs.
+estimates the needs of the target deployment from it.
 """
 
 from __future__ import annotations
@@ -43,30 +43,32 @@
 PEER_COUNTS = (13, 88, 300, 3000, 24_000)
 MEMBER_COUNTS = (3, 7, 37, 300)
 ROUTE_COUNTS = (22, 350, 3700)
-REPEATS = 200
+CHOICES_PER_SIZE = 200
 BYTES_PER_MB = 1e6
 
 
 def main() -> None:
-    """Print the table."""
+    """Measure all quantities and print the table."""
     sys.stdout.write("| quantity | unit | measured (size: value) |\n|---|---|---|\n")
     for name, unit, values in _quantities():
-        shown = ", ".join(f"{size}: {value:.4g}" for size, value in values)
-        sys.stdout.write(f"| {name} | {unit} | {shown} |\n")
+        cells = ", ".join(f"{size}: {value:.4g}" for size, value in values)
+        sys.stdout.write(f"| {name} | {unit} | {cells} |\n")
         sys.stdout.flush()
 
 
 def _quantities() -> Iterator[tuple[str, str, list[tuple[int, float]]]]:
-    yield "directory of nodes", "MB", [(n, _size(partial(_directory, n))) for n in PEER_COUNTS]
+    yield "directory of nodes", "MB", [(n, _memory_mb(partial(_directory, n))) for n in PEER_COUNTS]
     encoded = [(n, float(len(msgspec.json.encode(_peers(n))))) for n in PEER_COUNTS]
     yield "all nodes' records", "bytes", encoded
-    yield "read them", "ms", [(n, _read_seconds(n) * 1e3) for n in PEER_COUNTS]
-    yield "choose a node among a service's", "us", [(n, _choose(n) * 1e6) for n in MEMBER_COUNTS]
-    records = [(n, _record(n)) for n in ROUTE_COUNTS]
+    yield "decode all nodes' records", "ms", [(n, _read_seconds(n) * 1e3) for n in PEER_COUNTS]
+    yield "choose a node of a service", "us", [(n, _choice_seconds(n) * 1e6) for n in MEMBER_COUNTS]
+    records = [(n, _configuration_record(n)) for n in ROUTE_COUNTS]
     yield "configuration record", "bytes", [(n, float(len(raw))) for n, raw in records]
     read = ConfigurationReader(ListLog())
-    yield "read it", "ms", [(n, _seconds(partial(read, raw), 5) * 1e3) for n, raw in records]
-    yield "configuration", "MB", [(n, _size(partial(read, raw))) for n, raw in records]
+    yield "decode the configuration record", "ms", [
+        (n, _mean_seconds(partial(read, raw), 5) * 1e3) for n, raw in records
+    ]
+    yield "configuration", "MB", [(n, _memory_mb(partial(read, raw))) for n, raw in records]
 
 
 def _peers(count: int) -> list[Peer]:
@@ -83,23 +85,26 @@
 
 def _directory(count: int) -> PeerDirectory:
     peers = _peers(count)
-    directory = PeerDirectory(peers[0], _NoLog())
+    directory = PeerDirectory(peers[0], _NullEventSink())
     directory.merge(peers, "test")
     return directory
 
 
 def _read_seconds(count: int) -> float:
     raw = [msgspec.json.encode(peer) for peer in _peers(count)]
-    return _seconds(lambda: [msgspec.json.decode(record, type=Peer) for record in raw], 3)
+    return _mean_seconds(lambda: [msgspec.json.decode(record, type=Peer) for record in raw], 3)
 
 
-def _choose(members: int) -> float:
-    me = Peer(NodeId("me"), "10.0.0.1:1", ServiceName("me"), DataCentre("dc-0"))
-    directory = PeerDirectory(me, _NoLog())
+def _choice_seconds(node_count: int) -> float:
+    own = Peer(NodeId("me"), "10.0.0.1:1", ServiceName("me"), DataCentre("dc-0"))
+    directory = PeerDirectory(own, _NullEventSink())
     directory.merge(
-        (msgspec.structs.replace(p, service=ServiceName("shop")) for p in _peers(members)), "test"
+        (msgspec.structs.replace(p, service=ServiceName("shop")) for p in _peers(node_count)),
+        "test",
+    )
+    choice = PeerChoice(
+        directory, ChoiceSettings(0.25), Evacuations(_NullEventSink()), random.Random(1)
     )
-    choice = PeerChoice(directory, ChoiceSettings(0.25), Evacuations(_NoLog()), random.Random(1))
     call = RoutedCall(
         request_id=RequestId("q"),
         route=RouteName("r"),
@@ -116,36 +121,36 @@
         repeatable=True,
         max_attempts=2,
     )
-    return _seconds(lambda: choice.direct(call, set(), 1.0), REPEATS)
+    return _mean_seconds(lambda: choice.direct(call, set(), 1.0), CHOICES_PER_SIZE)
 
 
-def _record(count: int) -> bytes:
+def _configuration_record(count: int) -> bytes:
     routes = [RouteOptions(f"service-{n}", prefix=f"/route-{n}/") for n in range(count)]
     return configuration(1, *routes)
 
 
-def _seconds(work: Callable[[], object], repeats: int) -> float:
-    begun = time.perf_counter()
+def _mean_seconds(operation: Callable[[], object], repeats: int) -> float:
+    started_at = time.perf_counter()
     for _ in range(repeats):
-        work()
-    return (time.perf_counter() - begun) / repeats
+        operation()
+    return (time.perf_counter() - started_at) / repeats
 
 
-def _size(make: Callable[[], object]) -> float:
+def _memory_mb(factory: Callable[[], object]) -> float:
     tracemalloc.start()
-    kept = make()
+    held = factory()
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    del kept
+    del held
     return size / BYTES_PER_MB
 
 
-class _NoLog:
+class _NullEventSink:
     def event(self, name: str, **fields: object) -> None:
-        """Drop the line."""
+        """Discard the event."""
 
     def decision(self, name: str, **fields: object) -> None:
-        """Drop the line."""
+        """Discard the event."""
 
 
 if __name__ == "__main__":
--- a/benchmark/policy.py
+++ b/benchmark/policy.py
@@ -1,10 +1,10 @@
-"""Routing policies under faults, each on its own cluster in one run.
+"""Compares routing policies under faults, each on a cluster of its own.
 
 Usage: python -m benchmark.policy [--scenario NAME ...] [--policy NAME ...]
        [--load SHARE ...] [--seconds S] [--seva]
 
-Calls enter at nodes of another service, open loop, at a share of the slots'
-capacity. Baselines admit everything and never hedge.
+Calls enter at nodes of another service, open loop, at a share of the capacity of all
+slots. With the baseline policies every request is admitted and none is hedged.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
     from collections.abc import Awaitable
     from collections.abc import Callable
 
-    from benchmark.runner import Merged
+    from benchmark.runner import MergedResults
 
 WORK_MS = 40.0
 WARM_UP_SECONDS = 3.0
@@ -45,34 +45,34 @@
 
 
 async def quiet(cluster: Cluster, service: str) -> None:
-    """Let nothing happen."""
+    """Inject no fault."""
 
 
 async def moving_slow(cluster: Cluster, service: str) -> None:
-    """Slow one backend server 10 times for 200 ms, then the next."""
+    """Slow down one backend server by a factor of 10 for 200 ms, then the next."""
     number = 0
     while True:
-        place = cluster.of(service)[number % len(cluster.of(service))]
+        node = cluster.of(service)[number % len(cluster.of(service))]
         number += 1
-        await post_json(f"{place.backend_url}/_behave", {"slow": SLOW_FACTOR})
+        await post_json(f"{node.backend_url}/_behave", {"slow": SLOW_FACTOR})
         await asyncio.sleep(SLOW_SECONDS)
-        await post_json(f"{place.backend_url}/_behave", {"slow": 1.0})
+        await post_json(f"{node.backend_url}/_behave", {"slow": 1.0})
         await asyncio.sleep(SLOW_SECONDS)
 
 
 async def fail_fast(cluster: Cluster, service: str) -> None:
-    """Let one backend server answer 500 at once."""
+    """Make one backend server answer 500 immediately."""
     await post_json(f"{cluster.of(service)[0].backend_url}/_behave", {"fail": True})
 
 
 async def drain(cluster: Cluster, service: str) -> None:
-    """Let one backend server drain in the middle of the run."""
+    """Drain one backend server in the middle of the run."""
     await asyncio.sleep(WARM_UP_SECONDS + 2.0)
     await post_json(f"{cluster.of(service)[0].backend_url}/_behave", {"draining": True})
 
 
 async def kill_node(cluster: Cluster, service: str) -> None:
-    """Kill the node beside one backend server in the middle of the run."""
+    """Kill the node of one backend server in the middle of the run."""
     await asyncio.sleep(WARM_UP_SECONDS + 2.0)
     process = cluster.of(service)[0].node_process
     assert process is not None
@@ -80,7 +80,7 @@
 
 
 async def log_out(cluster: Cluster, service: str) -> None:
-    """Let the log be out throughout."""
+    """Make the platform log unavailable for the whole run."""
     await cluster.log_faults(outage=True)
 
 
@@ -95,7 +95,7 @@
 
 
 def only_two_services(deployment: Deployment) -> Deployment:
-    """Return the deployment's first service and, as entries, its second."""
+    """Return the deployment with its first two services only; calls enter at the second."""
     first, second = list(deployment.count_by_service)[:2]
     counts = {name: deployment.count_by_service[name] for name in (first, second)}
     return replace(deployment, count_by_service=counts)
@@ -104,47 +104,51 @@
 async def run_one(
     deployment: Deployment, policy: str, scenario: str, load: float, seconds: float
 ) -> dict[str, object]:
-    """Return one row: a policy under a scenario at a load."""
-    service, entry_service = deployment.count_by_service
-    is_product = policy == "hoisthook"
-    options = Options(policy=policy, admission=is_product, work_ms=WORK_MS, decisions=is_product)
+    """Run a policy under a scenario at a load, and return the row of its results."""
+    service, ingress_service = deployment.count_by_service
+    is_hoisthook = policy == "hoisthook"
+    options = Options(
+        policy=policy, admission=is_hoisthook, work_ms=WORK_MS, decisions=is_hoisthook
+    )
     cluster = Cluster(deployment, options)
     capacity = deployment.count_by_service[service] * deployment.slots / (WORK_MS / 1000.0)
     try:
         await cluster.start()
-        entries = [("127.0.0.1", place.callers) for place in cluster.of(entry_service)]
+        ingress_addresses = [("127.0.0.1", node.callers) for node in cluster.of(ingress_service)]
         await asyncio.sleep(2.5)
         plan = Plan(
-            targets=[Target("calls", entries, {"host": "h", "hoisthook-service": service})],
+            targets=[
+                Target("calls", ingress_addresses, {"host": "h", "hoisthook-service": service})
+            ],
             rate=load * capacity,
             seconds=seconds,
             warm_up_seconds=WARM_UP_SECONDS,
             seed=11,
         )
-        event = asyncio.ensure_future(SCENARIOS[scenario](cluster, service))
+        fault_task = asyncio.ensure_future(SCENARIOS[scenario](cluster, service))
         merged = (await run_load(plan))["calls"]
-        event.cancel()
+        fault_task.cancel()
         with contextlib.suppress(asyncio.CancelledError):
-            await event
-        measured = await _measured(cluster)
+            await fault_task
+        load_reads = await _count_load_reads(cluster)
     finally:
         await cluster.close()
-    return _row(policy, scenario, load, capacity, seconds, merged) | measured
+    return _row(policy, scenario, load, capacity, seconds, merged) | load_reads
 
 
-async def _measured(cluster: Cluster) -> dict[str, object]:
+async def _count_load_reads(cluster: Cluster) -> dict[str, object]:
     requests = 0
-    for place in cluster.places:
+    for node in cluster.places:
         with contextlib.suppress(OSError):
             status = await operator_call(
-                place.operators, lambda stub: stub.NodeStatus(pb.NodeStatusRequest())
+                node.operators, lambda stub: stub.NodeStatus(pb.NodeStatusRequest())
             )
             requests += status.measure_requests
     return {"measure_requests": requests}
 
 
 def _row(
-    policy: str, scenario: str, load: float, capacity: float, seconds: float, merged: Merged
+    policy: str, scenario: str, load: float, capacity: float, seconds: float, merged: MergedResults
 ) -> dict[str, object]:
     errors = {k: v for k, v in merged.count_by_result.items() if k != "0 OK"}
     return {
@@ -169,7 +173,7 @@
 
 
 async def run(arguments: argparse.Namespace) -> None:
-    """Run all combinations asked for, one after the other."""
+    """Run all combinations given on the command line, one after the other."""
     deployment = only_two_services(SEVA if arguments.seva else TERANGA)
     rows: list[dict[str, object]] = []
     for scenario in arguments.scenario:
--- a/benchmark/quotas.py
+++ b/benchmark/quotas.py
@@ -1,7 +1,10 @@
-"""Compares ways to hold a team's quota over all nodes, on the same load and seeds.
+"""Compares ways to enforce a team's quota over all nodes, with the same load and seeds.
 
-Prints for each: the most that ran in a window as a share of what is allowed, how much of what lay
-within the quota was refused, and how much of the quota a hot team got.
+Usage: python -m benchmark.quotas
+
+Prints for each variant: the share of a load within the quota that was rejected, the most requests
+that were admitted in a window, as a ratio of the allowed number, and the rate that a team over its
+quota got, as a ratio of the quota.
 """
 
 from __future__ import annotations
@@ -24,34 +27,34 @@
     from collections.abc import Callable
     from collections.abc import Iterable
 
-    # When requests are admitted, given when and where they come.
+    # From the time and node of each request, the times of the admitted ones.
     Admit = Callable[[Iterable[tuple[float, int]], Quota], list[float]]
-    # Given a rate and a seed, when requests are admitted, and how many came.
-    Way = Callable[[float, int], tuple[list[float], int]]
+    # From a rate and a seed, the times of admitted requests and the number of arrivals.
+    Variant = Callable[[float, int], tuple[list[float], int]]
 
 NODES = (20, 19, 17, 18)
 LARGE = Team(TeamName("large"), (), quota=Quota(95.0, 95.0))
-USUAL_PER_SECOND = 59.0
+NORMAL_PER_SECOND = 59.0
 HOT_PER_SECOND = 250.0
 SECONDS = 20.0
-# How old the demand is that nodes tell each other with the questions they ask anyway.
-TOLD_AFTER_SECONDS = 1.5
-ROUND_SECONDS = 0.6
+# Age of the demand that nodes report to each other, when it is sent with the periodic polls.
+DEMAND_DELAY_SECONDS = 1.5
+RESIZE_SECONDS = 0.6
 SEEDS = range(5)
 
 
 def arrivals(per_second: float, seed: int) -> list[tuple[float, int]]:
-    """Return moments and nodes of requests."""
-    chance = random.Random(seed)
+    """Return times and nodes of requests, in seconds and node numbers."""
+    rng = random.Random(seed)
     now = 0.0
-    found = []
-    while (now := now + chance.expovariate(per_second)) < SECONDS:
-        found.append((now, chance.randrange(sum(NODES))))
-    return found
+    times_and_nodes = []
+    while (now := now + rng.expovariate(per_second)) < SECONDS:
+        times_and_nodes.append((now, rng.randrange(sum(NODES))))
+    return times_and_nodes
 
 
 def equal_shares(requests: Iterable[tuple[float, int]], quota: Quota) -> list[float]:
-    """Return when requests are admitted where each node has the same part of the quota."""
+    """Return the times of admitted requests if each node has an equal share of the quota."""
     count = sum(NODES)
     rate, depth = BOUNDS.rate(quota) / count, max(1.0, BOUNDS.depth(quota) / count)
     buckets = [TokenBucket(rate, depth, depth, 0.0) for _ in range(count)]
@@ -63,21 +66,23 @@
     return admitted
 
 
-def told_demand(requests: Iterable[tuple[float, int]], quota: Quota) -> list[float]:
-    """Return when requests are admitted where parts follow the demand that nodes tell."""
+def shares_by_demand(requests: Iterable[tuple[float, int]], quota: Quota) -> list[float]:
+    """Return the times of admitted requests if shares follow the demand that nodes report."""
     count = sum(NODES)
     rate = BOUNDS.rate(quota)
     buckets = [TokenBucket(rate / count, 1.0, 1.0, 0.0) for _ in range(count)]
     seen: list[tuple[float, int]] = []
     admitted = []
-    told_at = 0.0
+    resized_at = 0.0
     for now, node in requests:
-        if now - told_at >= ROUND_SECONDS:
-            told_at = now
-            old = [n for at, n in seen if now - 2 * TOLD_AFTER_SECONDS <= at < now - 1.5]
+        if now - resized_at >= RESIZE_SECONDS:
+            resized_at = now
+            reported_nodes = [
+                n for at, n in seen if now - 2 * DEMAND_DELAY_SECONDS <= at < now - 1.5
+            ]
             for number, bucket in enumerate(buckets):
-                part = (old.count(number) + 0.5) / (len(old) + 0.5 * count)
-                bucket.resize(rate * part, max(1.0, BOUNDS.depth(quota) * part), now)
+                share = (reported_nodes.count(number) + 0.5) / (len(reported_nodes) + 0.5 * count)
+                bucket.resize(rate * share, max(1.0, BOUNDS.depth(quota) * share), now)
         seen.append((now, node))
         if buckets[node].level(now) >= 1.0:
             buckets[node].take(1.0, now)
@@ -85,46 +90,48 @@
     return admitted
 
 
-def given_out(per_second: float, seed: int) -> tuple[list[float], int]:
-    """Return what the way that is used admits: tokens from one node a data centre."""
+def granted_tokens(per_second: float, seed: int) -> tuple[list[float], int]:
+    """Run the implemented variant, in which one node per data centre grants tokens."""
 
-    async def story(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         await fleet.press(LARGE, per_second, SECONDS)
 
-    fleet = play(NODES, seed, story)
+    fleet = play(NODES, seed, scenario)
     return fleet.admitted[LARGE.name], fleet.asked[LARGE.name]
 
 
-def most_in_window(times: list[float]) -> int:
-    """Return the most in any window."""
+def max_in_window(times: list[float]) -> int:
+    """Return the largest number of times in one window."""
     return max(
         (sum(1 for t in times if at <= t < at + BOUNDS.window) for at in times[::5]), default=0
     )
 
 
 def main() -> int:
-    """Print the table."""
+    """Run all variants and print a line for each."""
     quota = LARGE.quota
     assert quota is not None
-    ways: dict[str, Way] = {
-        "equal shares": functools.partial(_alone, equal_shares, quota),
-        "shares by told demand": functools.partial(_alone, told_demand, quota),
-        "tokens given out": given_out,
+    variants: dict[str, Variant] = {
+        "equal shares": functools.partial(_simulate, equal_shares, quota),
+        "shares by reported demand": functools.partial(_simulate, shares_by_demand, quota),
+        "granted tokens": granted_tokens,
     }
-    for name, way in ways.items():
-        usual = [way(USUAL_PER_SECOND, seed) for seed in SEEDS]
-        hot = [way(HOT_PER_SECOND, seed) for seed in SEEDS]
-        refused = 1.0 - sum(len(a) for a, _ in usual) / sum(asked for _, asked in usual)
-        most = max(most_in_window(a) for a, _ in hot) / bound(quota)
-        got = sum(len(a) for a, _ in hot) / len(SEEDS) / (quota.per_second * SECONDS)
+    for name, variant in variants.items():
+        normal = [variant(NORMAL_PER_SECOND, seed) for seed in SEEDS]
+        hot = [variant(HOT_PER_SECOND, seed) for seed in SEEDS]
+        rejected_share = 1.0 - sum(len(a) for a, _ in normal) / sum(
+            arrived for _, arrived in normal
+        )
+        window_ratio = max(max_in_window(a) for a, _ in hot) / bound(quota)
+        granted_ratio = sum(len(a) for a, _ in hot) / len(SEEDS) / (quota.per_second * SECONDS)
         sys.stdout.write(
-            f"{name}: usual load refused {refused:.1%}, hot team's fullest window {most:.2f} of "
-            f"what is allowed, hot team got {got:.2f} of its rate\n"
+            f"{name}: normal load rejected {rejected_share:.1%}, hot team's fullest window "
+            f"{window_ratio:.2f} of what is allowed, hot team got {granted_ratio:.2f} of its rate\n"
         )
     return 0
 
 
-def _alone(admit: Admit, quota: Quota, per_second: float, seed: int) -> tuple[list[float], int]:
+def _simulate(admit: Admit, quota: Quota, per_second: float, seed: int) -> tuple[list[float], int]:
     requests = arrivals(per_second, seed)
     return admit(requests, quota), len(requests)
 
--- a/benchmark/relay.py
+++ b/benchmark/relay.py
@@ -1,4 +1,4 @@
-"""One-hop relays made of different libraries, to compare the cost of a hop.
+"""One-hop relays built on different libraries, to compare the cost of a hop.
 
 Usage: python -m benchmark.relay KIND PORT TARGET_PORT
 """
@@ -30,65 +30,65 @@
     Send = Callable[[dict[str, Any]], Awaitable[None]]
 
 HOST = "127.0.0.1"
-CONNECT_SECONDS = 1.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 
 
 class BytePipe(asyncio.Protocol):
-    """Copies bytes one way; the least that any hop can cost."""
+    """Copies bytes in one direction, as a lower bound for the cost of a hop."""
 
     def __init__(self, peer: BytePipe | None = None) -> None:
         self.peer = peer
         self.transport: asyncio.Transport | None = None
-        self._early: list[bytes] = []
+        self._unsent: list[bytes] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport and send what came too early."""
+        """Store the transport and send the data that arrived before it was connected."""
         self.transport = transport  # type: ignore[assignment]
-        for data in self._early:
+        for data in self._unsent:
             self.write(data)
 
     def data_received(self, data: bytes) -> None:
-        """Pass bytes on."""
+        """Forward bytes to the peer."""
         if self.peer is not None:
             self.peer.write(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Close the other side too."""
+        """Close the connection of the peer."""
         if self.peer is not None and self.peer.transport is not None:
             self.peer.transport.close()
 
     def write(self, data: bytes) -> None:
-        """Send bytes, once connected."""
+        """Send bytes, or hold them until the connection is made."""
         if self.transport is None:
-            self._early.append(data)
+            self._unsent.append(data)
         else:
             self.transport.write(data)
 
 
 async def serve_bytes(port: int, target: int) -> None:
-    """Relay bytes forever."""
+    """Relay bytes between connections until cancelled."""
     loop = asyncio.get_running_loop()
     tasks: set[asyncio.Task[Any]] = set()
 
     def accept() -> BytePipe:
-        inner = BytePipe()
-        outer = BytePipe(inner)
-        inner.peer = outer
-        task = loop.create_task(loop.create_connection(lambda: inner, HOST, target))
+        backend_side = BytePipe()
+        caller_side = BytePipe(backend_side)
+        backend_side.peer = caller_side
+        task = loop.create_task(loop.create_connection(lambda: backend_side, HOST, target))
         tasks.add(task)
         task.add_done_callback(tasks.discard)
-        return outer
+        return caller_side
 
     server = await loop.create_server(accept, HOST, port)
     await server.serve_forever()
 
 
 async def serve_own(port: int, target: int) -> None:
-    """Relay by hoisthook's server and client connections."""
+    """Relay through hoisthook's HTTP server and client pool."""
     pool = ClientPool()
 
     async def handle(exchange: ServerExchange) -> None:
-        connection = await pool.acquire((HOST, target), CONNECT_SECONDS)
+        connection = await pool.acquire((HOST, target), CONNECT_TIMEOUT_SECONDS)
         head = exchange.head
         request = encode_request_head(head.method, head.target, end_to_end(head.headers))
         answer = await connection.send(request)
@@ -105,7 +105,7 @@
 
 
 def asgi_app(fetch: Callable[[str, dict[str, str]], Awaitable[tuple[int, bytes]]]) -> Any:
-    """Return a bare ASGI application that forwards by ``fetch``."""
+    """Return a minimal ASGI application that forwards requests with ``fetch``."""
 
     async def app(scope: dict[str, Any], receive: Any, send: Send) -> None:
         headers = {n.decode(): v.decode() for n, v in scope["headers"] if n != b"host"}
@@ -118,7 +118,7 @@
 
 
 async def serve_uvicorn(app: Any, port: int) -> None:
-    """Serve an ASGI application by uvicorn on httptools."""
+    """Serve an ASGI application with uvicorn and httptools."""
     config = uvicorn.Config(
         app,
         host=HOST,
@@ -133,7 +133,7 @@
 
 
 async def serve_aiohttp(port: int, target: int) -> None:
-    """Relay by uvicorn and aiohttp's client."""
+    """Relay with uvicorn and the client of aiohttp."""
     async with aiohttp.ClientSession() as session:
 
         async def fetch(path: str, headers: dict[str, str]) -> tuple[int, bytes]:
@@ -145,7 +145,7 @@
 
 
 async def serve_aiosonic(port: int, target: int) -> None:
-    """Relay by uvicorn and aiosonic's client."""
+    """Relay with uvicorn and the client of aiosonic."""
     client = aiosonic.HTTPClient(TCPConnector(resolver=LiteralResolver()))
 
     async def fetch(path: str, headers: dict[str, str]) -> tuple[int, bytes]:
@@ -155,7 +155,7 @@
     await serve_uvicorn(asgi_app(fetch), port)
 
 
-KINDS = {
+SERVE_BY_KIND = {
     "bytes": serve_bytes,
     "own": serve_own,
     "aiohttp": serve_aiohttp,
@@ -164,9 +164,9 @@
 
 
 def main() -> None:
-    """Run one relay."""
+    """Run the relay of the kind and ports given on the command line."""
     kind, port, target = sys.argv[1:]
-    asyncio.run(KINDS[kind](int(port), int(target)))
+    asyncio.run(SERVE_BY_KIND[kind](int(port), int(target)))
 
 
 if __name__ == "__main__":
--- a/benchmark/retry_budget.py
+++ b/benchmark/retry_budget.py
@@ -1,10 +1,10 @@
-"""What all nodes of a service spend of its budget of repeats at most, at several sizes.
+"""Simulates the most repeats that all nodes of a service allow, for several numbers of nodes.
 
 Usage: python -m benchmark.retry_budget
 
-Repeats are asked for at every node all the time. Prints, for each number of nodes, how many repeats
-arrived in the fullest window, as a share of the fixed number: in calm, and while half of the nodes
-start anew again and again. No requests of callers are counted.
+Every node allows as many repeats as its budget permits, and no first arrivals add to the budgets.
+Prints, for each number of nodes, the budget of the service and the most repeats that arrived in a
+window: without restarts as the baseline, and while half of the nodes restart every 1.2 s.
 """
 
 from __future__ import annotations
@@ -19,52 +19,57 @@
 from hoisthook.retry.arrival_budget import node_part
 
 NODES = (4, 6, 43, 195, 1000)
-# Repeats that operators allow a node of the deployments served, in the mean.
+# Mean number of repeats per window and node that operators of the served deployments allow.
 EXTRA_PER_NODE = 2.5
 WINDOW_SECONDS = 10.0
 SECONDS = 40.0
 STEP_SECONDS = 0.1
-START_SECONDS = 1.2
-STARTED_SHARE = 0.5
+RESTART_INTERVAL_SECONDS = 1.2
+RESTARTED_SHARE = 0.5
 
 
-def fullest(nodes: int, extra: float, *, starts: bool, seed: int = 1) -> int:
-    """Return how many repeats arrive in the fullest window."""
-    draw = random.Random(seed)
+def max_repeats_in_window(nodes: int, extra: float, *, restarts: bool, seed: int = 1) -> int:
+    """Return the largest number of repeats that arrive in one window."""
+    rng = random.Random(seed)
     settings = RetrySettings(ratio=0.0, window=WINDOW_SECONDS, extra=extra)
     ids = [NodeId(f"node-{number}") for number in range(nodes)]
-    parts = [node_part(extra, node, ids) for node in ids]
-    budgets = [_started(settings, part, 0.0) for part in parts]
-    made: list[float] = []
+    shares = [node_part(extra, node, ids) for node in ids]
+    budgets = [_new_budget(settings, share, 0.0) for share in shares]
+    repeat_times: list[float] = []
     for step in range(round(SECONDS / STEP_SECONDS)):
         now = step * STEP_SECONDS
-        if starts and step and step % round(START_SECONDS / STEP_SECONDS) == 0:
-            for number in draw.sample(range(nodes), round(STARTED_SHARE * nodes)):
-                budgets[number] = _started(settings, parts[number], now)
+        if restarts and step and step % round(RESTART_INTERVAL_SECONDS / STEP_SECONDS) == 0:
+            for number in rng.sample(range(nodes), round(RESTARTED_SHARE * nodes)):
+                budgets[number] = _new_budget(settings, shares[number], now)
         for budget in budgets:
             while budget.allows(Arrival.REDIRECTED, now):
                 budget.arrived(Arrival.REDIRECTED, now)
-                made.append(now)
-    begins = sorted(set(made))
+                repeat_times.append(now)
+    window_starts = sorted(set(repeat_times))
     return max(
-        (sum(1 for at in made if begin <= at < begin + WINDOW_SECONDS) for begin in begins),
+        (
+            sum(1 for at in repeat_times if window_start <= at < window_start + WINDOW_SECONDS)
+            for window_start in window_starts
+        ),
         default=0,
     )
 
 
-def _started(settings: RetrySettings, part: float, now: float) -> ArrivalBudget:
+def _new_budget(settings: RetrySettings, share: float, now: float) -> ArrivalBudget:
     budget = ArrivalBudget(settings, now)
-    budget.set_part(part, now)
+    budget.set_part(share, now)
     return budget
 
 
 def main() -> int:
-    """Print a line a size."""
-    sys.stdout.write("nodes  extra  calm  half start every 1.2 s  (fullest 10 s)\n")
+    """Print a line for each number of nodes."""
+    sys.stdout.write("nodes  extra  base  half restart every 1.2 s  (most in 10 s)\n")
     for nodes in NODES:
         extra = max(60.0, EXTRA_PER_NODE * nodes)
-        calm, starting = (fullest(nodes, extra, starts=starts) for starts in (False, True))
-        sys.stdout.write(f"{nodes:5} {extra:6.0f} {calm:5} {starting:8}\n")
+        baseline, restarting = (
+            max_repeats_in_window(nodes, extra, restarts=restarts) for restarts in (False, True)
+        )
+        sys.stdout.write(f"{nodes:5} {extra:6.0f} {baseline:5} {restarting:8}\n")
     return 0
 
 
--- a/benchmark/runner.py
+++ b/benchmark/runner.py
@@ -1,4 +1,4 @@
-"""Runs load processes against a cluster and merges their reports."""
+"""Runs load generators in processes of their own, merges their reports and reads resource usage."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 if TYPE_CHECKING:
     from hdrh.histogram import HdrHistogram
 
-    from benchmark.load import Kind
+    from benchmark.load import KindResults
 
 GENERATORS = 2
 TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 
 
 @dataclass(slots=True)
-class Merged:
-    """One kind of calls over all generators; times in microseconds."""
+class MergedResults:
+    """Results of one kind of calls over all generators; times in microseconds."""
 
     sent: int
     answered: int
@@ -35,17 +35,17 @@
     histogram: HdrHistogram
 
     def millis(self, percentile: float) -> float:
-        """Return a percentile of the answer times in milliseconds."""
+        """Return a percentile of the latencies, in milliseconds."""
         return float(self.histogram.get_value_at_percentile(percentile)) / 1000.0
 
 
-async def run_load(plan: Plan, generators: int = GENERATORS) -> dict[str, Merged]:
-    """Run a plan split over several processes, and return the kinds by name."""
-    parts = [
+async def run_load(plan: Plan, generators: int = GENERATORS) -> dict[str, MergedResults]:
+    """Run a plan split over several processes, and return the merged results by kind."""
+    plans = [
         msgspec.structs.replace(plan, rate=plan.rate / generators, seed=plan.seed + number)
         for number in range(generators)
     ]
-    reports = await asyncio.gather(*(_run_part(part) for part in parts))
+    reports = await asyncio.gather(*(_run_generator(part) for part in plans))
     return {target.name: _merge(reports, target.name) for target in plan.targets}
 
 
@@ -58,7 +58,7 @@
 
 
 def usage_of(pid: int) -> Usage:
-    """Return what the system accounts to a process."""
+    """Return the processor time and resident memory of a process, from ``/proc``."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     ticks = int(fields[11]) + int(fields[12])
     pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
@@ -73,7 +73,7 @@
     return int(values[names.index("InOctets")])
 
 
-async def _run_part(plan: Plan) -> Report:
+async def _run_generator(plan: Plan) -> Report:
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -85,10 +85,10 @@
     return msgspec.json.decode(out, type=Report)
 
 
-def _merge(reports: list[Report], name: str) -> Merged:
-    merged = Merged(0, 0, 0, {}, new_histogram())
+def _merge(reports: list[Report], name: str) -> MergedResults:
+    merged = MergedResults(0, 0, 0, {}, new_histogram())
     for report in reports:
-        kind: Kind = report.kind_by_name[name]
+        kind: KindResults = report.kind_by_name[name]
         merged.sent += kind.sent
         merged.answered += kind.answered
         merged.attempts += kind.attempts
--- a/benchmark/spreading.py
+++ b/benchmark/spreading.py
@@ -1,9 +1,9 @@
-"""Measures what one change of the configuration costs each node that hears of it.
+"""Measures what one change of the configuration costs each node that receives it.
 
 Usage: PYTHONPATH=src:platform python -m benchmark.spreading
 
-Prints a Markdown table: bytes of one message and processor time at several sizes, for the ways
-that docs/design/spreading.md weighs.
+Prints a Markdown table: bytes of one message and processor time for several numbers of routes, for
+the alternatives that docs/design/spreading.md compares.
 """
 
 from __future__ import annotations
@@ -37,10 +37,10 @@
 
 
 def main() -> None:
-    """Print the table."""
+    """Measure all sizes and print the table."""
     sys.stdout.write(
-        "| routes | whole, as JSON | whole, compressed | one route changed | take it in, ms "
-        "| read the whole anew, ms |\n|---|---|---|---|---|---|\n"
+        "| routes | complete, as JSON | complete, compressed | one route changed "
+        "| apply the change, ms | read the complete record, ms |\n|---|---|---|---|---|---|\n"
     )
     for count in ROUTE_COUNTS:
         sys.stdout.write(_row(count) + "\n")
@@ -51,53 +51,53 @@
     first = configuration(1, *routes)
     routes[0] = msgspec.structs.replace(routes[0], timeout=3.0)
     second = configuration(2, *routes)
-    read = ConfigurationReader(ListLog())
-    before, after = _read(read, first), _read(read, second)
+    reader = ConfigurationReader(ListLog())
+    before, after = _read_configuration(reader, first), _read_configuration(reader, second)
     history = ConfigurationHistory()
     history.add_version(before.parts)
     history.add_version(after.parts)
-    as_found = len(msgspec.json.encode({"configuration": second}))
-    whole = encode_message(SyncReply(configuration=history.since(NO_VERSION)))
-    difference = encode_message(SyncReply(configuration=history.since(1)))
+    json_bytes = len(msgspec.json.encode({"configuration": second}))
+    full_update = encode_message(SyncReply(configuration=history.since(NO_VERSION)))
+    delta_update = encode_message(SyncReply(configuration=history.since(1)))
 
-    def take_in() -> None:
-        delta = decode_message(difference, SyncReply).configuration
+    def apply_delta() -> None:
+        delta = decode_message(delta_update, SyncReply).configuration
         assert delta is not None
         parts = delta.applied_to(before.parts)
         assert parts is not None
-        read.assemble(parts)
+        reader.assemble(parts)
 
-    anew = _milliseconds(lambda: ConfigurationReader(ListLog())(second))
+    full_read_ms = _milliseconds(lambda: ConfigurationReader(ListLog())(second))
     return (
-        f"| {count} | {as_found} | {len(whole)} | {len(difference)} "
-        f"| {_milliseconds(take_in):.2f} | {anew:.2f} |"
+        f"| {count} | {json_bytes} | {len(full_update)} | {len(delta_update)} "
+        f"| {_milliseconds(apply_delta):.2f} | {full_read_ms:.2f} |"
     )
 
 
 def _routes(count: int) -> list[RouteOptions]:
-    """Return routes whose names do not resemble each other, as those of real hosts do not."""
-    drawn = random.Random(SEED)
+    """Return routes with random hosts and prefixes, since similar names would compress too well."""
+    rng = random.Random(SEED)
     return [
         RouteOptions(
             f"service-{number % 40}",
-            host=f"{drawn.getrandbits(NAME_BITS):x}.example",
-            prefix=f"/{drawn.getrandbits(NAME_BITS):x}/",
+            host=f"{rng.getrandbits(NAME_BITS):x}.example",
+            prefix=f"/{rng.getrandbits(NAME_BITS):x}/",
         )
         for number in range(count)
     ]
 
 
-def _read(read: ConfigurationReader, raw: bytes) -> TrafficConfiguration:
-    found = read(raw)
-    assert found is not None
-    return found
+def _read_configuration(reader: ConfigurationReader, raw: bytes) -> TrafficConfiguration:
+    loaded = reader(raw)
+    assert loaded is not None
+    return loaded
 
 
-def _milliseconds(work: Callable[[], object]) -> float:
-    begun = time.perf_counter()
+def _milliseconds(operation: Callable[[], object]) -> float:
+    started_at = time.perf_counter()
     for _ in range(REPEATS):
-        work()
-    return (time.perf_counter() - begun) / REPEATS * 1000.0
+        operation()
+    return (time.perf_counter() - started_at) / REPEATS * 1000.0
 
 
 if __name__ == "__main__":
--- a/benchmark/transport.py
+++ b/benchmark/transport.py
@@ -1,9 +1,9 @@
-"""What one hop costs by library: time added and processor time, in one run.
+"""Compares the added latency and processor time of one hop between HTTP libraries.
 
 Usage: python -m benchmark.transport [--rate R] [--seconds S]
 
-All kinds take turns in one open-loop load against one backend server, so they
-meet the same noise. ``bytes`` copies bytes and is the floor of any hop here.
+All kinds alternate in one open-loop load against one backend server, so that
+noise of the machine affects them equally. ``bytes`` only copies bytes: a lower bound.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 from benchmark.load import Plan
 from benchmark.load import Target
-from benchmark.relay import KINDS
+from benchmark.relay import SERVE_BY_KIND
 from benchmark.runner import run_load
 from benchmark.runner import usage_of
 from standin.cluster import PortBlock
@@ -28,14 +28,14 @@
 
 
 async def run(rate: float, seconds: float) -> None:
-    """Start the relays, load them, print a table."""
-    block = PortBlock(2 + len(KINDS))
-    backend, announcements, *ports = block.ports
+    """Start the relays, run the load through them and print a table."""
+    port_block = PortBlock(2 + len(SERVE_BY_KIND))
+    backend, announcements, *ports = port_block.ports
     command = [sys.executable, "-m", "standin.backend_server", "--port", str(backend)]
     command += ["--id", "b", "--service", "svc", "--slots", "64", "--work-ms", WORK_MS]
     command += ["--announce", f"127.0.0.1:{announcements}"]
     processes = [await asyncio.create_subprocess_exec(*command)]
-    port_by_kind = dict(zip(KINDS, ports, strict=True))
+    port_by_kind = dict(zip(SERVE_BY_KIND, ports, strict=True))
     pid_by_kind = {}
     for kind, port in port_by_kind.items():
         arguments = ["-m", "benchmark.relay", kind, str(port), str(backend)]
@@ -52,17 +52,17 @@
         after = {kind: usage_of(pid).cpu_seconds for kind, pid in pid_by_kind.items()}
     finally:
         await asyncio.gather(*(stop(process) for process in processes))
-        block.close()
+        port_block.close()
     direct = merged["direct"]
-    share = (seconds + WARM_UP_SECONDS) / seconds
+    warm_up_factor = (seconds + WARM_UP_SECONDS) / seconds
     rows = []
-    for kind in KINDS:
+    for kind in SERVE_BY_KIND:
         row: dict[str, object] = {"kind": kind}
         for percentile in (50.0, 99.0):
             added = merged[kind].millis(percentile) - direct.millis(percentile)
             row[f"added p{percentile:g} ms"] = round(added, 3)
-        spent = (after[kind] - before[kind]) / (merged[kind].sent * share)
-        row["cpu ms a call"] = round(spent * 1000.0, 3)
+        cpu_seconds = (after[kind] - before[kind]) / (merged[kind].sent * warm_up_factor)
+        row["cpu ms a call"] = round(cpu_seconds * 1000.0, 3)
         row["sent"] = merged[kind].sent
         rows.append(row)
     sys.stdout.write("| " + " | ".join(rows[0]) + " |\n|---|---|---|---|---|\n")
--- a/tests/tool/test_known_red.py
+++ b/tests/tool/test_known_red.py
@@ -25,13 +25,13 @@
 def test_green():
     pass
 """
-LISTED = "test_listed.py::{} | make test, no seed | fails | issue 7\n"
+ENTRY = "test_listed.py::{} | make test, no seed | fails | issue 7\n"
 
 
-def run(pytester: pytest.Pytester, listed: str) -> pytest.RunResult:
+def run(pytester: pytest.Pytester, entries: str) -> pytest.RunResult:
     pytester.makepyfile(test_listed=TESTS)
     path: Path = pytester.path / "KNOWN-RED.txt"
-    path.write_text(listed)
+    path.write_text(entries)
     return pytester.runpytest_inprocess(
         *("-p", "tool.known_red", "--known-red", str(path)),
         *("-p", "no:xdist", "-p", "no:cacheprovider"),
@@ -39,21 +39,21 @@
     )
 
 
-def test_exactly_the_listed_tests_are_passed_over(pytester: pytest.Pytester) -> None:
-    """Guards against an entry that passes over each test whose name begins like its own."""
-    listed = LISTED.format("test_red") + LISTED.format("test_red_by_number")
-    run(pytester, listed).assert_outcomes(passed=1, failed=1, deselected=3)
+def test_exactly_the_listed_tests_are_deselected(pytester: pytest.Pytester) -> None:
+    """Guards against an entry that also deselects tests whose names start with its own."""
+    entries = ENTRY.format("test_red") + ENTRY.format("test_red_by_number")
+    run(pytester, entries).assert_outcomes(passed=1, failed=1, deselected=3)
 
 
-def test_nothing_is_passed_over_without_entries(pytester: pytest.Pytester) -> None:
+def test_nothing_is_deselected_without_entries(pytester: pytest.Pytester) -> None:
     run(pytester, "\n").assert_outcomes(passed=1, failed=4)
 
 
 @pytest.mark.parametrize(
-    "listed",
-    [LISTED.format("test_gone"), "hunt-1 | a day | lost | issue 7\n", "test_listed.py::test_red\n"],
+    "entries",
+    [ENTRY.format("test_gone"), "hunt-1 | a day | lost | issue 7\n", "test_listed.py::test_red\n"],
 )
-def test_entry_that_names_no_test_is_an_error(pytester: pytest.Pytester, listed: str) -> None:
-    """Guards against an entry that says nothing and a run that looks complete."""
-    result = run(pytester, listed)
+def test_entry_that_names_no_test_is_an_error(pytester: pytest.Pytester, entries: str) -> None:
+    """Guards against a stale or malformed entry that is ignored, so that the run looks complete."""
+    result = run(pytester, entries)
     assert result.ret == pytest.ExitCode.USAGE_ERROR
--- a/tool/__init__.py
+++ b/tool/__init__.py
@@ -1,3 +1,3 @@
-"""Tools for building; not shipped."""
+"""Build and check tools; not part of the distribution."""
 
 from __future__ import annotations
--- a/tool/build_dist.py
+++ b/tool/build_dist.py
@@ -1,4 +1,4 @@
-"""Builds the one-file program from what the lock installed.
+"""Builds the single-file program from the distributions installed in this environment.
 
 Usage: python tool/build_dist.py [FILE]; the default is ``dist/hoisthook``.
 """
@@ -13,44 +13,44 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-NAME = re.compile(r"[A-Za-z0-9._-]+")
+DISTRIBUTION_NAME = re.compile(r"[A-Za-z0-9._-]+")
 
 
-def needed_distributions(name: str = "hoisthook") -> list[metadata.Distribution]:
-    """Return the distributions that ``name`` needs at run time, itself left out."""
+def runtime_dependencies(name: str = "hoisthook") -> list[metadata.Distribution]:
+    """Return the run-time dependencies of ``name``, direct and transitive, without itself."""
     found: dict[str, metadata.Distribution] = {}
-    waiting = [name]
-    while waiting:
-        current = waiting.pop()
+    pending = [name]
+    while pending:
+        current = pending.pop()
         for requirement in metadata.distribution(current).requires or []:
-            needed, _, marker = requirement.partition(";")
-            match = NAME.match(needed)
+            dependency, _, marker = requirement.partition(";")
+            match = DISTRIBUTION_NAME.match(dependency)
             if match is None or "extra" in marker or match.group() in found:
                 continue
             try:
                 found[match.group()] = metadata.distribution(match.group())
             except metadata.PackageNotFoundError:
-                # A marker for other systems or versions.
+                # Its environment marker selects other systems or Python versions.
                 continue
-            waiting.append(match.group())
+            pending.append(match.group())
     return [found[key] for key in sorted(found)]
 
 
 def build(target: Path) -> None:
-    """Write the program to ``target``."""
+    """Write the program to ``target``, as an executable zip archive."""
     with tempfile.TemporaryDirectory(prefix="hoisthook-dist-") as folder:
-        stage = Path(folder)
-        for distribution in needed_distributions():
+        staging = Path(folder)
+        for distribution in runtime_dependencies():
             for file in distribution.files or []:
                 if ".." in file.parts or "__pycache__" in file.parts:
                     continue
-                _copy(Path(str(distribution.locate_file(file))), stage / file)
+                _copy(Path(str(distribution.locate_file(file))), staging / file)
         for file in (ROOT / "src").rglob("*"):
             if file.is_file() and "__pycache__" not in file.parts:
-                _copy(file, stage / file.relative_to(ROOT / "src"))
-        _copy(ROOT / "tool" / "dist_main.py", stage / "__main__.py")
+                _copy(file, staging / file.relative_to(ROOT / "src"))
+        _copy(ROOT / "tool" / "dist_main.py", staging / "__main__.py")
         target.parent.mkdir(parents=True, exist_ok=True)
-        zipapp.create_archive(stage, target, interpreter="/usr/bin/env python3", compressed=True)
+        zipapp.create_archive(staging, target, interpreter="/usr/bin/env python3", compressed=True)
 
 
 def _copy(source: Path, target: Path) -> None:
--- a/tool/dist_main.py
+++ b/tool/dist_main.py
@@ -1,7 +1,7 @@
-"""Entry of the one-file program: a zip archive that Python runs as it is.
+"""Entry point of the single-file program, a zip archive that Python executes directly.
 
-Pure Python is imported from the archive. An extension module cannot be: each is
-written to a temporary folder, loaded, and deleted again at once.
+Pure Python modules are imported from the archive. Extension modules cannot be: each is written to a
+temporary folder, loaded, and deleted again.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class ArchiveExtensionLoader(ExtensionFileLoader):
-    """Loads an extension module from bytes, by way of a file that lives for the load."""
+    """Loads an extension module from bytes, through a file that is deleted after the load."""
 
     def __init__(self, name: str, data: bytes, suffix: str) -> None:
         self._folder = tempfile.TemporaryDirectory(prefix="hoisthook-")
@@ -30,13 +30,13 @@
         super().__init__(name, str(path))
 
     def exec_module(self, module: ModuleType) -> None:
-        """Run the module's own start and delete the file."""
+        """Execute the module and delete its file."""
         super().exec_module(module)
         self._folder.cleanup()
 
 
 class ArchiveExtensionFinder:
-    """Finds the extension modules of an archive."""
+    """Import finder for the extension modules in a zip archive."""
 
     def __init__(self, archive: str) -> None:
         self._zip = zipfile.ZipFile(archive)
--- a/tool/generate_rpc.py
+++ b/tool/generate_rpc.py
@@ -1,6 +1,6 @@
-"""Generates the operators' RPC code from the schema into a folder.
+"""Generates the RPC code of the operator service from its schema into a folder.
 
-Usage: python tool/generate_rpc.py [FOLDER]; the default is the package itself.
+Usage: python tool/generate_rpc.py [FOLDER]; the default is the package ``hoisthook.rpc``.
 """
 
 from __future__ import annotations
--- a/tool/known_red.py
+++ b/tool/known_red.py
@@ -1,7 +1,8 @@
-"""Lets a test run pass over exactly the tests that KNOWN-RED.txt lists.
+"""Deselects exactly the tests that KNOWN-RED.txt lists.
 
-A plugin of pytest: ``-p tool.known_red --known-red KNOWN-RED.txt``. Each entry is a line of four
-fields, separated by ``|``: the test's node id, the command with its seed, what was seen, the issue.
+A pytest plugin: ``-p tool.known_red --known-red KNOWN-RED.txt``. Each entry is a line of four
+fields, separated by ``|``: the node id of the test, the command with its seed, the failure that was
+seen, and the issue.
 """
 
 from __future__ import annotations
@@ -15,20 +16,20 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-FIELDS = 4
+FIELD_COUNT = 4
 OPTION = "--known-red"
 
 
 @dataclass(frozen=True, slots=True)
-class KnownRed:
-    """An entry of the list.
+class KnownFailure:
+    """A known failure: one entry of the list.
 
     Attributes
     ----------
     test : str
-        Node id; without parameters it stands for all of them.
+        Node id of the test. Without parameters it matches every parametrization.
     command, seen, issue : str
-        How it is reproduced, what happened, and where it is followed.
+        How to reproduce the failure, what was seen, and the issue that tracks it.
     """
 
     test: str
@@ -36,41 +37,49 @@
     seen: str
     issue: str
 
-    def names(self, node_id: str) -> bool:
-        """Return whether the entry names a test."""
+    def matches(self, node_id: str) -> bool:
+        """Return whether the entry lists the test with this node id."""
         return node_id == self.test or node_id.startswith(f"{self.test}[")
 
 
-def read_entries(path: Path) -> Iterator[KnownRed]:
+def read_entries(path: Path) -> Iterator[KnownFailure]:
     """Yield the entries of a list.
 
     Raises
     ------
     pytest.UsageError
-        If a line has other than four fields, or an empty one.
+        If a line does not have four fields, or one of them is empty.
     """
     for number, line in enumerate(path.read_text().splitlines(), start=1):
         if not line.strip():
             continue
         fields = [field.strip() for field in line.split("|")]
-        if len(fields) != FIELDS or not all(fields):
-            raise pytest.UsageError(f"{path}:{number}: not test | command | seen | issue")
-        yield KnownRed(*fields)
+        if len(fields) != FIELD_COUNT or not all(fields):
+            raise pytest.UsageError(
+                f"{path}:{number}: expected 4 fields: test | command | seen | issue"
+            )
+        yield KnownFailure(*fields)
 
 
 def pytest_addoption(parser: pytest.Parser) -> None:
-    """Add the option."""
-    parser.addoption(OPTION, type=Path, default=None, help="list of known failures to pass over")
+    """Add the option ``--known-red``."""
+    parser.addoption(OPTION, type=Path, default=None, help="list of known failures to deselect")
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Pass over the listed tests; an entry that names none is an error."""
+    """Deselect the listed tests.
+
+    Raises
+    ------
+    pytest.UsageError
+        If an entry matches no collected test.
+    """
     path = config.getoption(OPTION)
     if path is None:
         return
     for entry in read_entries(path):
-        named = [item for item in items if entry.names(item.nodeid)]
-        if not named:
-            raise pytest.UsageError(f"{path}: no such test: {entry.test}")
-        config.hook.pytest_deselected(items=named)
-        items[:] = [item for item in items if item not in named]
+        matched = [item for item in items if entry.matches(item.nodeid)]
+        if not matched:
+            raise pytest.UsageError(f"{path}: entry matches no collected test: {entry.test}")
+        config.hook.pytest_deselected(items=matched)
+        items[:] = [item for item in items if item not in matched]
