--- a/src/hoisthook/mesh/admitted_exchange.py
+++ b/src/hoisthook/mesh/admitted_exchange.py
@@ -11,7 +11,7 @@
 from hoisthook.exceptions import BrokenExchangeError
 from hoisthook.mesh.buffered_exchange import BODYLESS_METHODS
 from hoisthook.mesh.buffered_exchange import read_buffered
-from hoisthook.mesh.hop_header import wait_of
+from hoisthook.mesh.hop_header import parse_wait_seconds
 from hoisthook.node.call import Lost
 from hoisthook.node.call import Refused
 from hoisthook.result_code import ResultCode
@@ -148,7 +148,7 @@
         )
         if not continued.done() and processing.done():
             await asyncio.wait(
-                (continued,), timeout=wait_of(processing.result()) + ADMISSION_SECONDS
+                (continued,), timeout=parse_wait_seconds(processing.result()) + ADMISSION_SECONDS
             )
         return continued.done()
 
--- a/tests/mesh/test_store_readers.py
+++ b/tests/mesh/test_store_readers.py
@@ -19,20 +19,20 @@
 
 @pytest.fixture(autouse=True)
 def long_waits(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Keep waits for changes from ending by themselves, so that calls can be counted."""
+    """Prevent waits for changes from timing out, so that calls can be counted."""
     monkeypatch.setattr(configuration_watch, "MIN_WAIT_SECONDS", LONG_SECONDS)
     monkeypatch.setattr(configuration_watch, "MAX_WAIT_SECONDS", LONG_SECONDS)
 
 
 async def one_data_centre(system: MeshSystem) -> tuple[list[Machine], list[Machine]]:
-    """Return the readers and the others, all with the first configuration."""
+    """Return the readers and the other machines, all with the first configuration."""
     system.readers_per_data_centre = READERS
     for _ in range(NODES):
         await system.add("shop")
     system.introduce_all()
     system.publish(1, RouteOptions("shop"))
     await system.until_configured(1)
-    readers = [m for m in system.machines if not m.node._watch._readers.to_ask()]
+    readers = [m for m in system.machines if not m.node._watch._readers.poll_targets()]
     return readers, [m for m in system.machines if m not in readers]
 
 
@@ -54,7 +54,7 @@
     assert system.store.calls.count("log-read") - before <= READERS
 
 
-async def test_others_take_the_place_of_readers_that_are_gone(system: MeshSystem) -> None:
+async def test_unreachable_readers_are_replaced(system: MeshSystem) -> None:
     readers, others = await one_data_centre(system)
     await settled(system)
     for machine in readers:
@@ -67,8 +67,8 @@
         machine.backend.close()
 
 
-async def test_nodes_of_another_data_centre_are_not_asked(system: MeshSystem) -> None:
+async def test_nodes_of_another_data_centre_are_not_polled(system: MeshSystem) -> None:
     await one_data_centre(system)
     far = await system.add("shop", data_centre="two")
     system.introduce_all()
-    assert far.node._watch._readers.to_ask() == []
+    assert far.node._watch._readers.poll_targets() == []
