--- a/benchmark/capacity.py
+++ b/benchmark/capacity.py
@@ -1,4 +1,4 @@
-"""Growth of state, message sizes and processor time, as reported in docs/CAPACITY.md.
+"""Measures how state, message sizes and processor time grow; docs/CAPACITY.md reports the results.
 
 Usage: python -m benchmark.capacity [--json FILE]
 
--- a/benchmark/crashing.py
+++ b/benchmark/crashing.py
@@ -46,7 +46,7 @@
     name : str
         Label in the table.
     crashes_needed : int
-        Number of crashes after which the work is rejected.
+        Number of crashes under a request after which it is rejected.
     is_reported : bool
         Whether nodes report crashes to each other at once.
     """
--- a/benchmark/policy.py
+++ b/benchmark/policy.py
@@ -94,7 +94,7 @@
 }
 
 
-def only_two_services(deployment: Deployment) -> Deployment:
+def first_two_services(deployment: Deployment) -> Deployment:
     """Return the deployment with its first two services only; calls enter at the second."""
     first, second = list(deployment.count_by_service)[:2]
     counts = {name: deployment.count_by_service[name] for name in (first, second)}
@@ -174,7 +174,7 @@
 
 async def run(arguments: argparse.Namespace) -> None:
     """Run all combinations given on the command line, one after the other."""
-    deployment = only_two_services(SEVA if arguments.seva else TERANGA)
+    deployment = first_two_services(SEVA if arguments.seva else TERANGA)
     rows: list[dict[str, object]] = []
     for scenario in arguments.scenario:
         for load in arguments.load:
--- a/benchmark/quotas.py
+++ b/benchmark/quotas.py
@@ -71,19 +71,19 @@
     count = sum(NODES)
     rate = BOUNDS.rate(quota)
     buckets = [TokenBucket(rate / count, 1.0, 1.0, 0.0) for _ in range(count)]
-    seen: list[tuple[float, int]] = []
+    arrived: list[tuple[float, int]] = []
     admitted = []
     resized_at = 0.0
     for now, node in requests:
         if now - resized_at >= RESIZE_SECONDS:
             resized_at = now
             reported_nodes = [
-                n for at, n in seen if now - 2 * DEMAND_DELAY_SECONDS <= at < now - 1.5
+                n for at, n in arrived if now - 2 * DEMAND_DELAY_SECONDS <= at < now - 1.5
             ]
             for number, bucket in enumerate(buckets):
                 share = (reported_nodes.count(number) + 0.5) / (len(reported_nodes) + 0.5 * count)
                 bucket.resize(rate * share, max(1.0, BOUNDS.depth(quota) * share), now)
-        seen.append((now, node))
+        arrived.append((now, node))
         if buckets[node].level(now) >= 1.0:
             buckets[node].take(1.0, now)
             admitted.append(now)
