--- a/src/hoisthook/adapter/__init__.py
+++ b/src/hoisthook/adapter/__init__.py
@@ -1,3 +1,3 @@
-"""Adapters between the ports and the outside."""
+"""Implementations of the ports: HTTP, logging, metrics and the operator service."""
 
 from __future__ import annotations
--- a/src/hoisthook/adapter/control_app.py
+++ b/src/hoisthook/adapter/control_app.py
@@ -1,4 +1,4 @@
-"""The control paths of a node: gossip from peers, announcements from beside."""
+"""Control endpoints of a node: gossip of peers, announcements of the local backend server."""
 
 from __future__ import annotations
 
@@ -35,24 +35,24 @@
 
 
 class Announcement(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a backend server says to the node beside it, at least once a second.
+    """Announcement of a backend server to its node, sent at least once a second.
 
     Attributes
     ----------
     backend_server : str
-        Its id; 1 to 63 of ``a-z 0-9 -``.
+        Id of the backend server; 1 to 63 characters of ``a-z 0-9 -``.
     service : str
-        What it serves.
+        Service that it belongs to.
     address : str
-        Where it listens, ``host:port``.
+        Address that it listens on, ``host:port``.
     slots : int
-        Requests that it can run at once.
+        Requests that it can run concurrently.
     draining : bool
-        Whether it is leaving.
+        Whether it is draining before a stop.
     load_path : str
-        Path of its load endpoint; empty for none.
+        Path of its load endpoint; empty if it has none.
     uptime_ms : int
-        For how long it has been up; one that has just started is ramped up.
+        Time since its start, in milliseconds; load is ramped up after a start.
     """
 
     backend_server: str
@@ -64,15 +64,15 @@
     uptime_ms: int = 0
 
     def problem(self) -> str | None:
-        """Return the first rule that the values break, or None."""
+        """Return the first validation error, or None."""
         if not is_name(self.backend_server) or not is_name(self.service):
-            return "backend_server, service: not 1 to 63 of a-z 0-9 -"
+            return "backend_server, service: not 1 to 63 characters of a-z 0-9 -"
         if not 1 <= self.slots <= MAX_SLOTS:
-            return f"slots: not within 1 to {MAX_SLOTS}"
+            return f"slots: not between 1 and {MAX_SLOTS}"
         if self.uptime_ms < 0:
-            return "uptime_ms: negative"
+            return "uptime_ms: must not be negative"
         if self.load_path and not self.load_path.startswith("/"):
-            return "load_path: does not start with /"
+            return "load_path: must start with /"
         try:
             parse_address(self.address)
         except ValueError as error:
@@ -85,7 +85,7 @@
 
 
 def make_peer_app(gossip: Gossip, table: MemberTable, follower: ConfigurationFollower) -> Starlette:
-    """Return the application for other nodes."""
+    """Return the application that serves other nodes."""
 
     async def exchange(request: Request) -> Response:
         message = await _decode(request, Exchange)
@@ -121,7 +121,7 @@
 def make_announcement_app(
     on_announcement: Callable[[Announcement], bool], status: Callable[[], object]
 ) -> Starlette:
-    """Return the application for the backend server beside."""
+    """Return the application that serves the local backend server."""
 
     async def announce(request: Request) -> Response:
         message = await _decode(request, Announcement)
@@ -131,7 +131,9 @@
         if problem is not None:
             return _malformed(problem)
         if not on_announcement(message):
-            return _malformed("backend_server: another one announces itself here")
+            return _malformed(
+                "backend_server: another backend server announces itself to this node"
+            )
         return _json(status())
 
     return Starlette(routes=[Route(ANNOUNCE_PATH, announce, methods=["POST"])])
--- a/src/hoisthook/adapter/http/__init__.py
+++ b/src/hoisthook/adapter/http/__init__.py
@@ -1,3 +1,3 @@
-"""HTTP/1.1 exchanges on the call path, parsed by httptools."""
+"""HTTP/1.1 client and server for requests between callers, nodes and backend servers."""
 
 from __future__ import annotations
--- a/src/hoisthook/adapter/http/asgi_bridge.py
+++ b/src/hoisthook/adapter/http/asgi_bridge.py
@@ -1,4 +1,4 @@
-"""Runs an ASGI application on exchanges of a call server."""
+"""Serves the exchanges of a `CallServer` with an ASGI application."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 async def serve_asgi(app: ASGIApp, exchange: ServerExchange) -> None:
-    """Serve one exchange by ``app``; the body is read whole and bounded first."""
+    """Serve one exchange with ``app``; its body is first buffered, up to `MAX_BODY_BYTES`."""
     body = b""
     try:
         while data := await exchange.body.read():
@@ -30,13 +30,13 @@
         exchange.abort()
         return
     answer = _Answer(exchange)
-    sent = False
+    delivered = False
 
     async def receive() -> dict[str, Any]:
-        nonlocal sent
-        if sent:
+        nonlocal delivered
+        if delivered:
             return {"type": "http.disconnect"}
-        sent = True
+        delivered = True
         return {"type": "http.request", "body": body, "more_body": False}
 
     await app(_scope(exchange), receive, answer.send)  # type: ignore[arg-type]
@@ -61,7 +61,7 @@
 
 
 class _Answer:
-    """Collects an application's answer and sends it whole."""
+    """Buffers an application's answer and sends it when it is complete."""
 
     def __init__(self, exchange: ServerExchange) -> None:
         self._exchange = exchange
@@ -70,7 +70,7 @@
         self._body = b""
 
     async def send(self, message: dict[str, Any]) -> None:
-        """Take one ASGI message."""
+        """Process one ASGI message (ASGI callback)."""
         if message["type"] == "http.response.start":
             self._status = message["status"]
             headers = message.get("headers", [])
--- a/src/hoisthook/adapter/http/body_stream.py
+++ b/src/hoisthook/adapter/http/body_stream.py
@@ -16,22 +16,22 @@
 
 
 class BodySource(Protocol):
-    """What a stream tells the connection that feeds it."""
+    """Flow control of the connection that feeds a stream."""
 
     def pause_body(self) -> None:
         """Stop reading from the socket."""
 
     def resume_body(self) -> None:
-        """Read from the socket again."""
+        """Resume reading from the socket."""
 
 
 class BodyStream:
-    """Chunks of one body, in order, ending whole or broken.
+    """The chunks of one message body, in order; it ends either complete or with an error.
 
     Parameters
     ----------
     source : BodySource
-        The connection, told to pause when more than ``HIGH_WATER_BYTES`` wait.
+        The connection; it is paused while more than ``HIGH_WATER_BYTES`` are buffered.
     """
 
     __slots__ = ("_chunks", "_size", "_source", "_waiter", "complete", "error", "on_complete")
@@ -47,7 +47,7 @@
 
     @property
     def buffered(self) -> int:
-        """Return how many bytes have arrived and were not read."""
+        """Return the number of bytes received and not yet read."""
         return self._size
 
     def feed(self, data: bytes) -> None:
@@ -56,24 +56,24 @@
         self._size += len(data)
         if self._size > HIGH_WATER_BYTES:
             self._source.pause_body()
-        self._wake()
+        self._wake_reader()
 
     def finish(self) -> None:
-        """Mark the body as whole."""
+        """Mark the body as complete."""
         self.complete = True
-        self._wake()
+        self._wake_reader()
         if self.on_complete is not None:
             self.on_complete()
 
     def fail(self, reason: str) -> None:
-        """Mark the body as broken, unless it is whole already."""
+        """Mark the body as failed, unless it is already complete or failed."""
         if self.complete or self.error is not None:
             return
         self.error = BrokenExchangeError(reason)
-        self._wake()
+        self._wake_reader()
 
     def take_buffered(self) -> bytes:
-        """Return all chunks that have arrived, without waiting."""
+        """Return all buffered bytes without waiting."""
         if not self._chunks:
             return b""
         if len(self._chunks) == 1:
@@ -87,12 +87,12 @@
         return data
 
     async def read(self) -> bytes:
-        """Return what has arrived; ``b""`` after the end of a whole body.
+        """Return the buffered bytes, waiting for the first; ``b""`` at the end of a complete body.
 
         Raises
         ------
         BrokenExchangeError
-            If the body broke off.
+            If the body ended prematurely.
         """
         while not self._chunks:
             if self.complete:
@@ -104,19 +104,19 @@
         return self.take_buffered()
 
     async def read_all(self, *, piece_timeout: float | None = None) -> bytes:
-        """Return the rest of a whole body.
+        """Return the rest of the body once it is complete.
 
         Parameters
         ----------
         piece_timeout : float, optional
-            Seconds to wait for each piece at most.
+            Maximum time to wait for each piece, in seconds.
 
         Raises
         ------
         BrokenExchangeError
-            If the body broke off.
+            If the body ended prematurely.
         TimeoutError
-            If a piece did not come in time.
+            If a piece did not arrive in time.
         """
         data = b""
         while True:
@@ -126,7 +126,7 @@
                 return data
             data += piece
 
-    def _wake(self) -> None:
+    def _wake_reader(self) -> None:
         waiter = self._waiter
         if waiter is not None and not waiter.done():
             waiter.set_result(None)
--- a/src/hoisthook/adapter/http/call_server.py
+++ b/src/hoisthook/adapter/http/call_server.py
@@ -1,4 +1,4 @@
-"""A listening socket whose requests go to one handler."""
+"""HTTP server that passes its requests to one handler."""
 
 from __future__ import annotations
 
@@ -16,29 +16,30 @@
     from hoisthook.identity import Address
 
 HEAD_TIMEOUT_SECONDS = 10.0
-# Beyond the time for which any client pool of ours keeps a connection.
+# Longer than `ClientPool` keeps an idle connection, so that the client closes it first.
 IDLE_TIMEOUT_SECONDS = 60.0
 MAX_HEAD_BYTES = 32 * 1024
-LEAVE_GRACE_SECONDS = 0.3
+IDLE_CLOSE_DELAY_SECONDS = 0.3
 MAX_CONNECTIONS = 4096
 BACKLOG = 1024
 
 
 class CallServer:
-    """Serves calls until closed; closing cuts no exchange in progress.
+    """Serves requests until closed; exchanges in progress are completed before.
 
     Parameters
     ----------
     address : Address
-        Where to listen; port 0 lets the system choose.
+        Address to listen on; with port 0 the operating system selects a port.
     handler : Handler
         Awaited once for each request.
     head_timeout : float
-        Seconds within which a head that has begun must be whole.
+        Time within which a request head must be complete, in seconds.
     idle_timeout : float
-        Seconds after which a connection without a request is closed.
-    continues_at_once : bool
-        Whether a body that is held back is asked for at once; otherwise by the handler.
+        Time after which a connection without a request is closed, in seconds.
+    auto_continue : bool
+        Whether 100 (Continue) is sent at once to a request that expects it; if not, the handler
+        sends it.
     """
 
     def __init__(
@@ -48,24 +49,24 @@
         *,
         head_timeout: float = HEAD_TIMEOUT_SECONDS,
         idle_timeout: float = IDLE_TIMEOUT_SECONDS,
-        continues_at_once: bool = True,
+        auto_continue: bool = True,
     ) -> None:
         self._address = address
         self._server: asyncio.Server | None = None
         self._connections: set[ServerConnection] = set()
-        self._handling = 0
+        self._running_handlers = 0
         self._idle = asyncio.Event()
         self._idle.set()
         self.handler = handler
         self.stopping = False
-        self.continues_at_once = continues_at_once
+        self.auto_continue = auto_continue
         self.head_timeout = head_timeout
         self.idle_timeout = idle_timeout
         self.max_head_bytes = MAX_HEAD_BYTES
 
     @property
     def address(self) -> Address:
-        """Return the address listened on."""
+        """Return the address that the server listens on."""
         assert self._server is not None
         host, port = self._server.sockets[0].getsockname()[:2]
         return host, port
@@ -76,7 +77,7 @@
         Raises
         ------
         HoisthookError
-            With ``PORT_UNAVAILABLE`` if the address cannot be opened.
+            With ``PORT_UNAVAILABLE`` if the server cannot listen on the address.
         """
         loop = asyncio.get_running_loop()
         try:
@@ -88,30 +89,30 @@
             raise HoisthookError(ResultCode.PORT_UNAVAILABLE, detail) from error
 
     def stop_listening(self) -> None:
-        """Take no new connection and tell those open to leave."""
+        """Accept no new connections; those that are open close after their current exchange."""
         self.stopping = True
         if self._server is not None:
             self._server.close()
 
     async def close(self, timeout: float) -> bool:
-        """Wait for the exchanges in progress, at most ``timeout`` seconds.
+        """Stop listening and wait up to ``timeout`` seconds for the exchanges in progress.
 
-        A request that arrives on an open connection meanwhile still reaches the
-        handler, whose answer then closes the connection; idle connections are
-        closed after `LEAVE_GRACE_SECONDS`.
+        A request that arrives on an open connection meanwhile is still passed to the handler; its
+        answer closes the connection. Idle connections are closed after
+        `IDLE_CLOSE_DELAY_SECONDS`, those still open after ``timeout`` seconds are aborted.
 
         Returns
         -------
         bool
-            Whether every exchange ended by itself.
+            Whether all exchanges were completed in time.
         """
         self.stop_listening()
         try:
             async with asyncio.timeout(timeout):
                 if self._connections:
-                    await asyncio.sleep(LEAVE_GRACE_SECONDS)
+                    await asyncio.sleep(IDLE_CLOSE_DELAY_SECONDS)
                 for connection in list(self._connections):
-                    connection.leave()
+                    connection.close_if_idle()
                 await self._idle.wait()
         except TimeoutError:
             for connection in list(self._connections):
@@ -120,39 +121,39 @@
         return True
 
     def abort(self) -> None:
-        """Close the socket and drop all connections at once, as a crash would."""
+        """Close the socket and abort all connections immediately, as a crash would."""
         self.stop_listening()
         for connection in list(self._connections):
             connection.abort()
 
-    def opened(self, connection: ServerConnection) -> None:
-        """Count a connection in; drop it at once when there are too many."""
+    def connection_opened(self, connection: ServerConnection) -> None:
+        """Register a connection; abort it if there are `MAX_CONNECTIONS` already."""
         if len(self._connections) >= MAX_CONNECTIONS:
             connection.abort()
         self._connections.add(connection)
         self._idle.clear()
 
-    def closed(self, connection: ServerConnection) -> None:
-        """Count a connection out."""
+    def connection_closed(self, connection: ServerConnection) -> None:
+        """Remove a connection."""
         self._connections.discard(connection)
-        self._set_idle()
+        self._update_idle()
 
-    def began(self) -> None:
-        """Count a request in whose handler runs."""
-        self._handling += 1
+    def handler_started(self) -> None:
+        """Count a running handler."""
+        self._running_handlers += 1
         self._idle.clear()
 
-    def ended(self) -> None:
-        """Count it out; its caller may have gone before."""
-        self._handling -= 1
-        self._set_idle()
+    def handler_ended(self) -> None:
+        """Count a handler that has ended, possibly after its connection was closed."""
+        self._running_handlers -= 1
+        self._update_idle()
 
-    def _set_idle(self) -> None:
-        if not self._connections and not self._handling:
+    def _update_idle(self) -> None:
+        if not self._connections and not self._running_handlers:
             self._idle.set()
 
     def bad_request(self, code: ResultCode) -> bytes:
-        """Return the answer to a request that cannot be parsed."""
+        """Return the encoded answer to a request that cannot be parsed."""
         entry = code.value
         headers = [
             (b"hoisthook-result", f"{entry.number} {code.name}".encode()),
--- a/src/hoisthook/adapter/http/client_connection.py
+++ b/src/hoisthook/adapter/http/client_connection.py
@@ -1,4 +1,4 @@
-"""One client connection: one exchange at a time, closed on any doubt."""
+"""HTTP client connection for one exchange at a time; closed on any protocol violation."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 class ClientConnection(FlowControl):
     """A connection to a node or a backend server.
 
-    The connection is reusable only after an answer that was whole, framed by
-    its own length, kept alive, and followed by no surplus byte.
+    The connection is reusable only after an answer that was complete, framed by its own length,
+    kept alive, and not followed by surplus bytes.
     """
 
     def __init__(self) -> None:
@@ -39,15 +39,15 @@
         self._accepts: Callable[[AnswerHead], bool] | None = None
         self._skipping = False
         self._ends_with_connection = False
-        self._interim = False
+        self._is_interim = False
         self._go_ahead: asyncio.Future[bool] | None = None
         self._processing: asyncio.Future[list[Header]] | None = None
-        self._whole = False
+        self._complete = False
         self._surplus = False
         self.body = BodyStream(self)
         self.closed = False
-        self._gone = False
-        self._gone_callbacks: list[Callable[[], None]] = []
+        self._fully_closed = False
+        self._fully_closed_callbacks: list[Callable[[], None]] = []
         self._abort_timer: asyncio.TimerHandle | None = None
         self.idle_since = 0.0
         self.exchanges = 0
@@ -55,9 +55,9 @@
     @property
     def reusable(self) -> bool:
         """Return whether another exchange may use the connection."""
-        if not self._whole or self._surplus or self.closed or self._transport is None:
+        if not self._complete or self._surplus or self.closed or self._transport is None:
             return False
-        # Bytes of a request that was answered early would be taken for the next one.
+        # The unsent rest of a request that was answered early would be read as the next request.
         return self._transport.get_write_buffer_size() == 0
 
     @property
@@ -66,7 +66,7 @@
         return not self.closed
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Store the transport (asyncio callback)."""
         self._transport = cast("asyncio.Transport", transport)
 
     def send(
@@ -76,22 +76,22 @@
         bodyless_answer: bool = False,
         accepts: Callable[[AnswerHead], bool] | None = None,
     ) -> asyncio.Future[AnswerHead]:
-        """Start an exchange with the first bytes of a request.
+        """Start an exchange by sending the first bytes of a request.
 
         Parameters
         ----------
         data : bytes
-            The head and what is there of the body.
+            The head and the part of the body that is available.
         bodyless_answer : bool
-            Whether the answer has no body whatever its headers say (HEAD).
+            Whether the answer has no body regardless of its headers (HEAD).
         accepts : callable, optional
-            Tells whether an answer belongs to this request; one that does not is
-            passed over, and the next is awaited.
+            Returns whether an answer belongs to this request; an answer that does not is skipped,
+            and the next one is awaited.
 
         Returns
         -------
         asyncio.Future of AnswerHead
-            Fails with `BrokenExchangeError` when the connection drops first.
+            Fails with `BrokenExchangeError` if the connection is closed before.
         """
         assert self._transport is not None
         self._parser = httptools.HttpResponseParser(self)
@@ -101,22 +101,23 @@
         self._accepts = accepts
         self._skipping = False
         self._ends_with_connection = False
-        self._whole = False
+        self._complete = False
         self.exchanges += 1
         self.body = BodyStream(self)
         self._head_waiter = asyncio.get_running_loop().create_future()
         self._go_ahead = None
         self._processing = None
         if self.closed:
-            self._fail("connection closed before the request")
+            self._fail("connection was closed before the request was sent")
         else:
             self._transport.write(data)
         return self._head_waiter
 
     def go_ahead(self) -> asyncio.Future[bool]:
-        """Return whether the other side asks for the rest of the request, once that is known.
+        """Return a future of whether the other side requests the rest of the request.
 
-        It does so by an interim answer; False if the answer or the end comes first.
+        It does so with an interim answer such as 100 (Continue); False if the final answer or the
+        end of the connection comes first.
         """
         self._go_ahead = asyncio.get_running_loop().create_future()
         if self.closed:
@@ -124,44 +125,45 @@
         return self._go_ahead
 
     def processing(self) -> asyncio.Future[list[Header]]:
-        """Return what the other side says once it keeps the request waiting, if it does."""
+        """Return a future of the headers of a 102 (Processing) answer; pending until it arrives."""
         self._processing = asyncio.get_running_loop().create_future()
         return self._processing
 
     def send_more(self, data: bytes) -> None:
-        """Send a further piece of the request of the exchange under way."""
+        """Send a further piece of the request of the current exchange."""
         if not self.closed and self._transport is not None:
             self._transport.write(data)
 
     def close(self) -> None:
-        """Drop the connection; an unfinished exchange is cancelled by it.
+        """Close the connection; this cancels an unfinished exchange.
 
-        The other side is told by the end of the stream, and its own end says that it
-        has noticed, see `on_gone`; after `CANCEL_SECONDS` it is not waited for.
+        Half-closing the stream signals the cancellation to the other side, which acknowledges it by
+        closing its own side, see `on_fully_closed`. After `CANCEL_SECONDS` without that, the
+        connection is aborted.
         """
         if self.closed:
             return
         if self._transport is not None:
-            if self._parser is None or self._whole:
+            if self._parser is None or self._complete:
                 self._transport.abort()
             else:
                 self._transport.write_eof()
                 loop = asyncio.get_running_loop()
                 self._abort_timer = loop.call_later(CANCEL_SECONDS, self._transport.abort)
-        self._lose("connection dropped here")
+        self._mark_closed("connection closed by this side")
 
-    def on_gone(self, callback: Callable[[], None]) -> None:
-        """Call back once the other side has let go of the connection, or now if it has."""
-        if self._gone:
+    def on_fully_closed(self, callback: Callable[[], None]) -> None:
+        """Call ``callback`` once both sides have closed the connection, or now if they have."""
+        if self._fully_closed:
             callback()
         else:
-            self._gone_callbacks.append(callback)
+            self._fully_closed_callbacks.append(callback)
 
     def data_received(self, data: bytes) -> None:
-        """Parse answer bytes; bytes outside an exchange close the connection."""
+        """Parse answer bytes; bytes outside an exchange close the connection (asyncio callback)."""
         if self.closed:
             return
-        if self._parser is None or self._whole:
+        if self._parser is None or self._complete:
             self.close()
             return
         try:
@@ -170,54 +172,54 @@
             self.close()
 
     def eof_received(self) -> None:
-        """Take the connection out of use before the loop gets to closing it.
+        """Mark the connection as closed before the loop closes it (asyncio callback).
 
-        The end of the stream, unlike a reset, is the end of an answer without framing.
+        Unlike a reset, the end of the stream completes an answer without framing.
         """
-        if self._ends_with_connection and not self._whole:
+        if self._ends_with_connection and not self._complete:
             self._end_exchange(keep=False)
-        self._lose("connection ended by the other side")
+        self._mark_closed("connection closed by the other side")
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End what was waiting."""
-        self._lose("connection dropped by the other side")
-        self._gone = True
+        """Fail the pending exchange (asyncio callback)."""
+        self._mark_closed("connection lost")
+        self._fully_closed = True
         if self._abort_timer is not None:
             self._abort_timer.cancel()
-        for callback in self._gone_callbacks:
+        for callback in self._fully_closed_callbacks:
             callback()
-        self._gone_callbacks.clear()
+        self._fully_closed_callbacks.clear()
 
     def on_message_begin(self) -> None:
-        """Begin a head; note a message behind the whole answer (parser callback)."""
-        # A new list: the one before may belong to a head that was handed over.
+        """Begin a head; detect a message after the complete answer (parser callback)."""
+        # A new list, since a head that was passed on may hold the previous one.
         self._headers = []
         self._head_bytes = 0
-        if self._whole:
+        if self._complete:
             self._surplus = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Collect a header (parser callback)."""
         self._head_bytes += len(name) + len(value)
         if self._head_bytes > MAX_HEAD_BYTES:
-            raise BrokenExchangeError("answer head too large")
+            raise BrokenExchangeError("answer head exceeds the size limit")
         self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Hand over the head (parser callback)."""
+        """Pass on the head (parser callback)."""
         assert self._parser is not None
         status = self._parser.get_status_code()
-        self._interim = 100 <= status < 200
-        if self._interim:
-            self._note_interim(status)
-        if self._interim or self._whole:
+        self._is_interim = 100 <= status < 200
+        if self._is_interim:
+            self._handle_interim(status)
+        if self._is_interim or self._complete:
             return
         head = AnswerHead(status, self._headers)
         if self._accepts is not None and not self._accepts(head):
             self._skipping = True
             return
         self._ends_with_connection = not self._bodyless and not head.is_framed
-        self._settle_go_ahead(asked=False)
+        self._resolve_go_ahead(requested=False)
         waiter = self._head_waiter
         if waiter is not None and not waiter.done():
             waiter.set_result(head)
@@ -225,13 +227,13 @@
             self._end_exchange(keep=False)
 
     def on_body(self, data: bytes) -> None:
-        """Hand over a piece of the body (parser callback)."""
-        if not self._whole and not self._skipping:
+        """Pass on a piece of the body (parser callback)."""
+        if not self._complete and not self._skipping:
             self.body.feed(data)
 
     def on_message_complete(self) -> None:
-        """Note the end of the answer (parser callback)."""
-        if self._interim or self._whole:
+        """Finish the answer (parser callback)."""
+        if self._is_interim or self._complete:
             return
         if self._skipping:
             self._skipping = False
@@ -240,30 +242,30 @@
         self._end_exchange(keep=self._parser.should_keep_alive())
 
     def _end_exchange(self, *, keep: bool) -> None:
-        self._whole = True
+        self._complete = True
         if not keep:
             self.closed = True
             if self._transport is not None:
                 self._transport.close()
         self.body.finish()
 
-    def _lose(self, reason: str) -> None:
+    def _mark_closed(self, reason: str) -> None:
         self.closed = True
         self._fail(reason)
         self.release_writer()
 
-    def _note_interim(self, status: int) -> None:
+    def _handle_interim(self, status: int) -> None:
         if status != PROCESSING_STATUS:
-            self._settle_go_ahead(asked=True)
+            self._resolve_go_ahead(requested=True)
         elif self._processing is not None and not self._processing.done():
             self._processing.set_result(self._headers)
 
-    def _settle_go_ahead(self, *, asked: bool) -> None:
+    def _resolve_go_ahead(self, *, requested: bool) -> None:
         if self._go_ahead is not None and not self._go_ahead.done():
-            self._go_ahead.set_result(asked)
+            self._go_ahead.set_result(requested)
 
     def _fail(self, reason: str) -> None:
-        self._settle_go_ahead(asked=False)
+        self._resolve_go_ahead(requested=False)
         waiter = self._head_waiter
         if waiter is not None and not waiter.done():
             waiter.set_exception(BrokenExchangeError(reason))
--- a/src/hoisthook/adapter/http/client_pool.py
+++ b/src/hoisthook/adapter/http/client_pool.py
@@ -1,4 +1,4 @@
-"""Idle client connections, by address."""
+"""Pool of idle client connections by address."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 
 class ClientPool:
-    """Connections kept for reuse, the most recently used first.
+    """Keeps connections for reuse; the most recently used one is reused first.
 
-    A connection that has been idle for too long is dropped rather than used, well
-    before the other side would drop it.
+    A connection that has been idle for longer than ``idle_limit`` is closed instead of reused, well
+    before the other side would close it.
 
     Parameters
     ----------
     idle_limit : float
-        Seconds.
+        Longest idle time of a connection that is reused, in seconds.
     """
 
     def __init__(self, *, idle_limit: float = IDLE_LIMIT_SECONDS) -> None:
@@ -53,20 +53,21 @@
     async def open(self, address: Address, timeout: float) -> ClientConnection:
         """Open a new connection.
 
-        The second half of the time begins when the loop gets to it: one that stood still in the
-        first half still takes in a connection that was opened meanwhile.
+        The second half of the time starts when the event loop runs the timer of the first half.
+        After a stall of the loop during the first half, a connection that was opened meanwhile
+        is thus still used instead of timed out.
 
         Raises
         ------
         UnreachableError
-            If it is refused or not open within ``timeout`` seconds.
+            If the connection is refused or not open within ``timeout`` seconds.
         """
         loop = asyncio.get_running_loop()
         self.opened += 1
         half = timeout / 2
         try:
-            async with asyncio.timeout(None) as bound:
-                halfway = loop.call_later(half, lambda: bound.reschedule(loop.time() + half))
+            async with asyncio.timeout(None) as deadline:
+                halfway = loop.call_later(half, lambda: deadline.reschedule(loop.time() + half))
                 try:
                     _, connection = await loop.create_connection(ClientConnection, *address)
                 finally:
@@ -76,12 +77,12 @@
         return connection
 
     async def acquire(self, address: Address, timeout: float) -> ClientConnection:
-        """Return an idle connection or open one.
+        """Return an idle connection, or open a new one.
 
         Raises
         ------
         UnreachableError
-            If no connection could be opened; nothing was sent then.
+            If no connection could be opened; nothing has been sent.
         """
         connection = self.take_idle(address)
         if connection is not None:
@@ -89,9 +90,9 @@
         return await self.open(address, timeout)
 
     def keep(self, address: Address, connection: ClientConnection) -> None:
-        """Keep a connection that is fit for another exchange; drop any other."""
-        unfit = connection.closed or (connection.exchanges and not connection.reusable)
-        if unfit or self._closed:
+        """Keep a connection for reuse, or close it if it is not reusable or the pool is full."""
+        not_reusable = connection.closed or (connection.exchanges and not connection.reusable)
+        if not_reusable or self._closed:
             connection.close()
             return
         idle = self._idle_by_address.setdefault(address, [])
@@ -102,29 +103,29 @@
         idle.append(connection)
 
     def forget(self, address: Address) -> None:
-        """Drop the idle connections to one address."""
+        """Close the idle connections to one address."""
         for connection in self._idle_by_address.pop(address, []):
             connection.close()
 
     def drop_idle(self) -> None:
-        """Drop connections idle for too long."""
+        """Close the connections that exceed the idle limit."""
         now = asyncio.get_running_loop().time()
         for address in list(self._idle_by_address):
-            kept = []
+            remaining = []
             for connection in self._idle_by_address[address]:
                 if connection.closed:
                     continue
                 if now - connection.idle_since > self._idle_limit:
                     connection.close()
                     continue
-                kept.append(connection)
-            if kept:
-                self._idle_by_address[address] = kept
+                remaining.append(connection)
+            if remaining:
+                self._idle_by_address[address] = remaining
             else:
                 del self._idle_by_address[address]
 
     def close(self) -> None:
-        """Drop all idle connections."""
+        """Close all idle connections; those returned later are closed as well."""
         self._closed = True
         for idle in self._idle_by_address.values():
             for connection in idle:
--- a/src/hoisthook/adapter/http/flow_control.py
+++ b/src/hoisthook/adapter/http/flow_control.py
@@ -1,4 +1,4 @@
-"""Back pressure of one connection, in both directions."""
+"""Back pressure of a connection, in both directions."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class FlowControl(asyncio.Protocol):
-    """A protocol that waits for its transport and can hold back its other side."""
+    """A protocol that can wait for its transport and pause reading from the other side."""
 
     def __init__(self) -> None:
         self._transport: asyncio.Transport | None = None
@@ -19,36 +19,36 @@
         raise NotImplementedError
 
     def pause_body(self) -> None:
-        """Stop reading while the body's reader is behind."""
+        """Pause reading while the reader of the body lags behind."""
         if self._transport is not None and self.is_open:
             self._transport.pause_reading()
 
     def resume_body(self) -> None:
-        """Read again."""
+        """Resume reading."""
         if self._transport is not None and self.is_open:
             self._transport.resume_reading()
 
     def pause_writing(self) -> None:
-        """Note that the transport is full."""
+        """Make `drain` wait, as the write buffer is full (asyncio callback)."""
         self._write_paused = True
 
     def resume_writing(self) -> None:
-        """Note that the transport takes more."""
+        """Let `drain` continue, as the write buffer has space again (asyncio callback)."""
         self._write_paused = False
         self.release_writer()
 
     def release_writer(self) -> None:
-        """Let whoever waits in `drain` go on."""
+        """Wake the writer that waits in `drain`."""
         if self._write_waiter is not None and not self._write_waiter.done():
             self._write_waiter.set_result(None)
 
     def write(self, data: bytes) -> None:
-        """Send bytes, unless the connection is gone."""
+        """Send bytes, unless the connection is closed."""
         if self._transport is not None and self.is_open:
             self._transport.write(data)
 
     async def drain(self) -> None:
-        """Wait until the transport takes more."""
+        """Wait until the write buffer has space or the connection is closed."""
         if self._write_paused and self.is_open:
             self._write_waiter = asyncio.get_running_loop().create_future()
             await self._write_waiter
--- a/src/hoisthook/adapter/http/message.py
+++ b/src/hoisthook/adapter/http/message.py
@@ -1,4 +1,4 @@
-"""Heads of HTTP messages and the headers that hoisthook reads and writes."""
+"""Heads of HTTP messages: representation and encoding."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
     @property
     def is_framed(self) -> bool:
-        """Return whether the answer's end shows before the connection's end."""
+        """Return whether the end of the answer is known without the connection being closed."""
         if self.status in BODYLESS_STATUSES:
             return True
         return any(name in FRAMING for name, _ in self.headers)
@@ -67,12 +67,12 @@
 
 
 def end_to_end(headers: list[Header]) -> list[Header]:
-    """Return the headers without those that belong to one connection only."""
+    """Return the headers without the hop-by-hop ones."""
     dropped = HOP_BY_HOP
     for name, value in headers:
         if name == b"connection":
-            named = {token.strip().lower() for token in value.split(b",")}
-            dropped = dropped | named
+            listed = {token.strip().lower() for token in value.split(b",")}
+            dropped = dropped | listed
     return [header for header in headers if header[0] not in dropped]
 
 
--- a/src/hoisthook/adapter/http/server_connection.py
+++ b/src/hoisthook/adapter/http/server_connection.py
@@ -1,4 +1,4 @@
-"""One server connection: requests in order, one handler at a time."""
+"""HTTP server connection: requests are served in order, one at a time."""
 
 from __future__ import annotations
 
@@ -26,38 +26,38 @@
 MAX_PIPELINED = 8
 
 
-class ServerOwner(Protocol):
-    """What a connection needs of its server."""
+class ConnectionServer(Protocol):
+    """Interface of the server that a connection belongs to."""
 
     handler: Handler
     stopping: bool
-    continues_at_once: bool
+    auto_continue: bool
     head_timeout: float
     idle_timeout: float
     max_head_bytes: int
 
-    def opened(self, connection: ServerConnection) -> None:
-        """Count the connection in."""
+    def connection_opened(self, connection: ServerConnection) -> None:
+        """Register a connection."""
 
-    def closed(self, connection: ServerConnection) -> None:
-        """Count the connection out."""
+    def connection_closed(self, connection: ServerConnection) -> None:
+        """Remove a connection."""
 
-    def began(self) -> None:
-        """Count a request in whose handler runs."""
+    def handler_started(self) -> None:
+        """Count a running handler."""
 
-    def ended(self) -> None:
-        """Count it out; its caller may have gone before."""
+    def handler_ended(self) -> None:
+        """Count a handler that has ended, possibly after its connection was closed."""
 
     def bad_request(self, code: ResultCode) -> bytes:
-        """Return the whole answer to a request that cannot be parsed."""
+        """Return the encoded answer to a request that cannot be parsed."""
 
 
 class ServerConnection(FlowControl):
-    """Parses requests and runs the owner's handler for each, in order."""
+    """Parses requests and runs the handler of its server for each of them, in order."""
 
-    def __init__(self, owner: ServerOwner) -> None:
+    def __init__(self, server: ConnectionServer) -> None:
         super().__init__()
-        self._owner = owner
+        self._server = server
         self._parser = httptools.HttpRequestParser(self)
         self._loop = asyncio.get_running_loop()
         self._queue: deque[ServerExchange] = deque()
@@ -67,59 +67,61 @@
         self._head_bytes = 0
         self._expects_continue = False
         self._timer: asyncio.TimerHandle | None = None
-        self._refused: ResultCode | None = None
+        self._rejection: ResultCode | None = None
         self.peer: tuple[str, int] = ("", 0)
-        self.lost = False
+        self.closed = False
 
     @property
     def is_open(self) -> bool:
         """Return whether the transport can still be used."""
-        return not self.lost
+        return not self.closed
 
     @property
-    def gone(self) -> bool:
-        """Return whether the other side has ended the connection."""
-        return self.lost or (self._transport is not None and self._transport.is_closing())
+    def is_closing(self) -> bool:
+        """Return whether the connection is closed or closing."""
+        return self.closed or (self._transport is not None and self._transport.is_closing())
 
     @property
     def busy(self) -> bool:
-        """Return whether a request is being served or read."""
+        """Return whether a request is being received or served."""
         return bool(self._queue) or self._incoming is not None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport and wait for the first head."""
+        """Store the transport and wait for the first head (asyncio callback)."""
         self._transport = cast("asyncio.Transport", transport)
         self.peer = transport.get_extra_info("peername") or ("", 0)
-        self._owner.opened(self)
-        # The first head is awaited from here on, so a silent connection is closed by its timeout.
-        self._timer = self._loop.call_later(self._owner.head_timeout, self._idle_over)
+        self._server.connection_opened(self)
+        # The timeout for the first head starts now, so a connection without data is closed.
+        self._timer = self._loop.call_later(self._server.head_timeout, self._on_idle_timeout)
 
     def data_received(self, data: bytes) -> None:
-        """Parse request bytes."""
-        if self._refused is not None:
+        """Parse request bytes (asyncio callback)."""
+        if self._rejection is not None:
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._refuse(ResultCode.REQUEST_MALFORMED)
+            self._reject(ResultCode.REQUEST_MALFORMED)
         except httptools.HttpParserError:
-            self._refuse(self._refused or ResultCode.REQUEST_MALFORMED)
+            self._reject(self._rejection or ResultCode.REQUEST_MALFORMED)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the running handler that its caller is gone."""
-        self.lost = True
+        """Notify the running handler that its caller has disconnected (asyncio callback)."""
+        self.closed = True
         self._disarm_timer()
         if self._incoming is not None:
-            self._incoming.body.fail("caller's connection dropped")
+            self._incoming.body.fail(
+                "connection to the caller was closed before the end of the request body"
+            )
         self.release_writer()
         if self._queue:
             self._queue[0].disconnected()
-        self._owner.closed(self)
+        self._server.connection_closed(self)
 
     def on_message_begin(self) -> None:
         """Start collecting a head (parser callback)."""
         self._disarm_timer()
-        self._timer = self._loop.call_later(self._owner.head_timeout, self._head_late)
+        self._timer = self._loop.call_later(self._server.head_timeout, self._on_head_timeout)
         self._target = b""
         self._headers = []
         self._head_bytes = 0
@@ -142,14 +144,14 @@
         """Queue the exchange (parser callback)."""
         self._disarm_timer()
         head = RequestHead(self._parser.get_method(), self._target, self._headers)
-        # The parser tells of a body's trailer like of a header: kept with the head, it would let a
-        # caller add to what was checked.
+        # The parser reports trailers of a chunked body like headers. In the list of the head they
+        # would let a caller add headers after the head was checked.
         self._headers = []
         exchange = ServerExchange(self, head, BodyStream(self), self._parser.should_keep_alive())
         if self._expects_continue:
-            exchange.expects_go_ahead = True
-            if self._owner.continues_at_once:
-                exchange.go_ahead()
+            exchange.expects_continue = True
+            if self._server.auto_continue:
+                exchange.send_continue()
         self._incoming = exchange
         self._queue.append(exchange)
         if len(self._queue) == 1:
@@ -158,38 +160,38 @@
             self.pause_body()
 
     def on_body(self, data: bytes) -> None:
-        """Hand over a piece of the body (parser callback)."""
+        """Pass on a piece of the body (parser callback)."""
         if self._incoming is not None:
             self._incoming.body.feed(data)
 
     def on_message_complete(self) -> None:
-        """Note the end of the request (parser callback)."""
+        """Finish the request (parser callback)."""
         if self._incoming is not None:
             self._incoming.body.finish()
             self._incoming = None
 
-    def leave(self) -> None:
-        """Close now if idle; otherwise after the exchange in progress."""
+    def close_if_idle(self) -> None:
+        """Close the connection if no request is being received or served."""
         if not self.busy and self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """Drop the connection, so that the caller sees a broken answer."""
+        """Abort the connection, so that the caller detects an incomplete answer."""
         if self._transport is not None:
             self._transport.abort()
 
     @property
     def stopping(self) -> bool:
-        """Return whether the server takes no further requests."""
-        return self._owner.stopping
+        """Return whether the server is shutting down."""
+        return self._server.stopping
 
     def exchange_ended(self, exchange: ServerExchange, *, keep: bool) -> None:
-        """Go on to the next request, or close."""
+        """Start the next request, or close the connection unless ``keep`` is set."""
         if self._queue and self._queue[0] is exchange:
             self._queue.popleft()
-        # A body that was held back ends without having been sent, see `ServerExchange`.
-        body_open = not exchange.body.complete and not exchange.expects_go_ahead
-        if not keep or body_open or self._owner.stopping:
+        # A caller that was not sent 100 (Continue) ends its body unsent, see `ServerExchange`.
+        body_open = not exchange.body.complete and not exchange.expects_continue
+        if not keep or body_open or self._server.stopping:
             if self._transport is not None:
                 self._transport.close()
             return
@@ -197,68 +199,68 @@
             self.resume_body()
         if self._queue:
             self._start_next()
-        elif self._refused is not None:
-            self._answer_refusal(self._refused)
+        elif self._rejection is not None:
+            self._answer_rejection(self._rejection)
         elif self._timer is None:
             self._arm_idle_timer()
 
     def _start_next(self) -> None:
-        if self._queue and not self.lost:
+        if self._queue and not self.closed:
             exchange = self._queue[0]
             exchange.task = self._loop.create_task(self._serve(exchange))
 
     async def _serve(self, exchange: ServerExchange) -> None:
-        self._owner.began()
+        self._server.handler_started()
         try:
-            await self._owner.handler(exchange)
+            await self._server.handler(exchange)
         except asyncio.CancelledError:
             exchange.abort()
         except Exception:
             exchange.abort()
             raise
         finally:
-            self._owner.ended()
+            self._server.handler_ended()
             if not exchange.ended:
                 exchange.abort()
 
     def _count_head(self, size: int) -> None:
         self._head_bytes += size
-        if self._head_bytes > self._owner.max_head_bytes:
-            self._refused = ResultCode.REQUEST_TOO_LARGE
-            raise ValueError("request head too large")
+        if self._head_bytes > self._server.max_head_bytes:
+            self._rejection = ResultCode.REQUEST_TOO_LARGE
+            raise ValueError("request head exceeds the size limit")
 
-    def _refuse(self, code: ResultCode) -> None:
-        self._refused = code
+    def _reject(self, code: ResultCode) -> None:
+        self._rejection = code
         self._disarm_timer()
         if self._incoming is not None:
-            self._incoming.body.fail("request body malformed")
+            self._incoming.body.fail("malformed request body")
             self._incoming = None
             return
         if not self._queue:
-            self._answer_refusal(code)
+            self._answer_rejection(code)
 
-    def _answer_refusal(self, code: ResultCode) -> None:
-        self.write(self._owner.bad_request(code))
+    def _answer_rejection(self, code: ResultCode) -> None:
+        self.write(self._server.bad_request(code))
         if self._transport is not None:
             self._transport.close()
 
     def _arm_idle_timer(self) -> None:
-        self._timer = self._loop.call_later(self._owner.idle_timeout, self._idle_over)
+        self._timer = self._loop.call_later(self._server.idle_timeout, self._on_idle_timeout)
 
     def _disarm_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _head_late(self) -> None:
+    def _on_head_timeout(self) -> None:
         self._timer = None
         if not self.busy:
-            self._refuse(ResultCode.REQUEST_TIMEOUT)
+            self._reject(ResultCode.REQUEST_TIMEOUT)
         elif self._transport is not None and self._incoming is None:
-            # A later request has begun behind one that still runs and will be refused after it.
-            self._refused = ResultCode.REQUEST_TIMEOUT
+            # The late head is of a pipelined request: it is rejected after the current exchange.
+            self._rejection = ResultCode.REQUEST_TIMEOUT
 
-    def _idle_over(self) -> None:
+    def _on_idle_timeout(self) -> None:
         self._timer = None
         if not self.busy and self._transport is not None:
             self._transport.close()
--- a/src/hoisthook/adapter/http/server_exchange.py
+++ b/src/hoisthook/adapter/http/server_exchange.py
@@ -19,25 +19,25 @@
     from hoisthook.adapter.http.server_connection import ServerConnection
 
 
-class Pace(Protocol):
-    """Tells when pieces of an answer may go out."""
+class AnswerPacer(Protocol):
+    """Schedules the pieces of answers within the capacity of a link."""
 
     @property
     def piece_bytes(self) -> int:
-        """Return the size of a piece."""
+        """Return the size of a piece, in bytes."""
 
     def spreads(self, size: int) -> bool:
-        """Return whether an answer of some size goes out in pieces."""
+        """Return whether an answer of ``size`` bytes is sent in pieces."""
 
     def sent(self, size: int, now: float) -> None:
-        """Note an answer that went out at once."""
+        """Account for an answer that was sent at once."""
 
     def wait(self, size: int, now: float) -> float:
-        """Take the next place for a piece; return the seconds until it may go out."""
+        """Reserve the next time slot for a piece; return the seconds until it may be sent."""
 
 
 class ServerExchange:
-    """What a handler reads a request from and writes its answer to.
+    """A request as its handler reads it, and the answer that the handler writes.
 
     Attributes
     ----------
@@ -46,13 +46,13 @@
     body : BodyStream
         The request's body.
     cancel_on_disconnect : bool
-        Whether the handler is cancelled when the caller goes away.
-    expects_go_ahead : bool
-        Whether the caller holds its body back until it is told to go ahead. If it is
-        answered before, it ends the body where it is and keeps the connection.
+        Whether the handler is cancelled when the caller disconnects.
+    expects_continue : bool
+        Whether the caller waits for 100 (Continue) before it sends the body. If the final answer
+        is sent first, the caller ends the body without sending the rest and keeps the connection.
     arrived : float
-        When its head was whole, on the loop's clock: before its handler runs where it waits behind
-        another request of its connection.
+        Time at which the head was complete, on the loop's clock. The handler starts later if an
+        earlier request of the connection is still being served.
     """
 
     __slots__ = (
@@ -63,7 +63,7 @@
         "body",
         "cancel_on_disconnect",
         "ended",
-        "expects_go_ahead",
+        "expects_continue",
         "head",
         "started",
         "task",
@@ -79,45 +79,45 @@
         self.head = head
         self.body = body
         self.cancel_on_disconnect = True
-        self.expects_go_ahead = False
+        self.expects_continue = False
         self.started = False
         self.ended = False
         self.task: asyncio.Task[None] | None = None
 
     @property
     def peer(self) -> tuple[str, int]:
-        """Return the other side's address."""
+        """Return the address of the other side."""
         return self._connection.peer
 
     @property
     def gone(self) -> bool:
-        """Return whether the other side has dropped the connection."""
-        return self._connection.gone
+        """Return whether the connection is closed or closing."""
+        return self._connection.is_closing
 
-    def go_ahead(self) -> None:
-        """Ask for a body that is held back; said once, and nothing if none is."""
-        if self.expects_go_ahead:
-            self.expects_go_ahead = False
+    def send_continue(self) -> None:
+        """Send 100 (Continue) if the caller still waits for it; otherwise do nothing."""
+        if self.expects_continue:
+            self.expects_continue = False
             self._connection.write(CONTINUE)
 
     def processing(self, headers: list[Header]) -> None:
-        """Tell the other side that its request is kept waiting."""
+        """Send 102 (Processing): the request is queued and still alive."""
         self._connection.write(encode_answer_head(PROCESSING_STATUS, headers))
 
     def begin(self, status: int, headers: list[Header], *, chunked: bool) -> bytes:
-        """Start the answer; return its head for the first `write`."""
+        """Start the answer and return its encoded head, to be sent with the first `write`."""
         self.started = True
         self._chunked = chunked
         if chunked:
             headers.append((b"transfer-encoding", b"chunked"))
-        body_open = not self.body.complete and not self.expects_go_ahead
+        body_open = not self.body.complete and not self.expects_continue
         if self._connection.stopping or not self._keep_alive or body_open:
             self._keep_alive = False
             headers.append((b"connection", b"close"))
         return encode_answer_head(status, headers)
 
     def respond(self, status: int, headers: list[Header], body: bytes = b"") -> None:
-        """Send a whole answer at once; ``content-length`` is added here."""
+        """Send a complete answer at once; ``content-length`` is added."""
         headers.append((b"content-length", b"%d" % len(body)))
         head = self.begin(status, headers, chunked=False)
         if self.head.method == b"HEAD":
@@ -126,20 +126,20 @@
         self.end()
 
     async def respond_paced(
-        self, status: int, headers: list[Header], body: bytes, pace: Pace
+        self, status: int, headers: list[Header], body: bytes, pacer: AnswerPacer
     ) -> None:
-        """Send a whole answer, in pieces where the pace of the link asks for it."""
+        """Send a complete answer, in pieces if the pacer requires it."""
         now = asyncio.get_running_loop().time()
-        if not pace.spreads(len(body)):
-            pace.sent(len(body), now)
+        if not pacer.spreads(len(body)):
+            pacer.sent(len(body), now)
             self.respond(status, headers, body)
             return
         headers.append((b"content-length", b"%d" % len(body)))
         self.write(b"", head=self.begin(status, headers, chunked=False))
         if self.head.method != b"HEAD":
-            for start in range(0, len(body), pace.piece_bytes):
-                piece = body[start : start + pace.piece_bytes]
-                seconds = pace.wait(len(piece), asyncio.get_running_loop().time())
+            for start in range(0, len(body), pacer.piece_bytes):
+                piece = body[start : start + pacer.piece_bytes]
+                seconds = pacer.wait(len(piece), asyncio.get_running_loop().time())
                 if seconds > 0:
                     await asyncio.sleep(seconds)
                 self.write(piece)
@@ -147,17 +147,17 @@
         self.end()
 
     def write(self, data: bytes, *, head: bytes = b"") -> None:
-        """Send a piece of the body, preceded by the answer's head if given."""
+        """Send a piece of the body, preceded by the encoded head if given."""
         if self._chunked and data:
             data = encode_chunk(data)
         self._connection.write(head + data)
 
     async def drain(self) -> None:
-        """Wait until the connection takes more."""
+        """Wait until the write buffer of the connection has space."""
         await self._connection.drain()
 
     def end(self) -> None:
-        """Finish the answer as whole."""
+        """Finish the answer as complete."""
         if self.ended:
             return
         if self._chunked:
@@ -166,12 +166,12 @@
         self._connection.exchange_ended(self, keep=self._keep_alive)
 
     def end_with_connection(self) -> None:
-        """Finish an answer that states no length by closing the connection."""
+        """Finish an answer without a stated length by closing the connection."""
         self._keep_alive = False
         self.end()
 
     def abort(self) -> None:
-        """Drop the connection, so that the answer is seen as broken."""
+        """Abort the connection, so that the caller detects an incomplete answer."""
         if self.ended:
             return
         self.ended = True
@@ -179,6 +179,6 @@
         self._connection.exchange_ended(self, keep=False)
 
     def disconnected(self) -> None:
-        """Cancel the handler, unless it asked to go on."""
+        """Cancel the handler, unless ``cancel_on_disconnect`` is unset."""
         if self.cancel_on_disconnect and self.task is not None and not self.ended:
             self.task.cancel()
--- a/src/hoisthook/adapter/http_log.py
+++ b/src/hoisthook/adapter/http_log.py
@@ -1,4 +1,4 @@
-"""The platform's log over HTTP with JSON."""
+"""Client of the platform's log over HTTP with JSON."""
 
 from __future__ import annotations
 
@@ -44,12 +44,12 @@
 
 
 class HttpLog:
-    """A `PlatformLog` behind ``POST`` and ``GET /streams/NAME/records``.
+    """A `PlatformLog` that uses ``POST`` and ``GET /streams/NAME/records``.
 
     Parameters
     ----------
     address : Address
-        The service's.
+        Address of the log service.
     """
 
     def __init__(self, address: Address) -> None:
@@ -59,14 +59,14 @@
     async def append(self, stream: str, payload: bytes) -> int:
         """Append a record and return its offset.
 
-        The method is POST, which the client library never sends again by itself.
+        The method is POST, which the client library never retries by itself.
 
         Raises
         ------
         LogUnavailableError
-            If the log refused, or could not be connected to.
+            If the log rejected the record or could not be connected to.
         AppendUnknownError
-            If no whole answer came.
+            If no complete answer was received.
         """
         try:
             response = await self._client.post(
@@ -80,7 +80,9 @@
         except Exception as error:
             raise AppendUnknownError(ResultCode.APPEND_UNKNOWN, repr(error)) from error
         if response.status_code == UNAVAILABLE_STATUS:
-            raise LogUnavailableError(ResultCode.LOG_UNAVAILABLE, "the log answered 503")
+            raise LogUnavailableError(
+                ResultCode.LOG_UNAVAILABLE, "the log answered with status 503"
+            )
         try:
             return msgspec.json.decode(body, type=_WireAppended).offset
         except msgspec.DecodeError as error:
@@ -92,7 +94,7 @@
         Raises
         ------
         LogUnavailableError
-            If no whole answer came.
+            If no complete answer was received.
         """
         query = f"offset={offset}&limit={MAX_PAGE_RECORDS}&wait_ms={int(wait * 1000)}"
         try:
@@ -109,5 +111,5 @@
         return LogPage(page.earliest, page.next, records)
 
     async def close(self) -> None:
-        """Drop connections."""
+        """Close all connections."""
         await self._client.connector.cleanup()
--- a/src/hoisthook/adapter/http_peers.py
+++ b/src/hoisthook/adapter/http_peers.py
@@ -1,4 +1,4 @@
-"""Peers over HTTP with JSON."""
+"""Calls to peers over HTTP with JSON."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class HttpPeers:
-    """A `PeerTransport` whose calls are all harmless to repeat."""
+    """A `PeerTransport`; all of its calls are idempotent, so retries are safe."""
 
     def __init__(self) -> None:
         self._client = aiosonic.HTTPClient(TCPConnector(resolver=LiteralResolver()))
@@ -39,25 +39,25 @@
         self.bytes_in = 0
 
     async def exchange(self, address: Address, message: Exchange) -> Exchange:
-        """Tell news and get the peer's."""
+        """Send membership updates and return the peer's."""
         return await self._post(address, EXCHANGE_PATH, msgspec.json.encode(message), Exchange)
 
     async def digests(self, address: Address) -> tuple[int, ...]:
-        """Get the digests of the parts of the peer's table."""
+        """Return the digests of the buckets of the peer's member table."""
         return await self._post(address, DIGESTS_PATH, b"", tuple[int, ...])
 
     async def members(self, address: Address, buckets: tuple[int, ...]) -> tuple[Member, ...]:
-        """Get some parts of the peer's table; all if ``buckets`` is empty."""
+        """Return the members in some buckets of the peer's table; all if ``buckets`` is empty."""
         body = msgspec.json.encode(buckets)
         return await self._post(address, MEMBERS_PATH, body, tuple[Member, ...])
 
     async def configuration(self, address: Address, after: int) -> ConfigurationPage:
-        """Get what the peer has applied after offset ``after``."""
+        """Return the configuration that the peer has applied after offset ``after``."""
         body = b'{"after":%d}' % after
         return await self._post(address, CONFIGURATION_PATH, body, ConfigurationPage)
 
     async def close(self) -> None:
-        """Drop connections."""
+        """Close all connections."""
         await self._client.connector.cleanup()
 
     async def _post(self, address: Address, path: str, body: bytes, kind: type[T]) -> T:
--- a/src/hoisthook/adapter/json_event_log.py
+++ b/src/hoisthook/adapter/json_event_log.py
@@ -1,4 +1,4 @@
-"""Events and decisions as JSON lines on standard output, bounded and never blocking."""
+"""Log of events and decisions as JSON lines on standard output, bounded and non-blocking."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Lines that wait for a reader of standard output beyond this are dropped and counted.
+# Beyond this size, lines that wait for the reader of standard output are dropped and counted.
 MAX_PENDING_BYTES = 256 * 1024
 # Decisions are written in batches of about this size to save system calls.
 BATCH_BYTES = 8 * 1024
 
 
 class PipeWriter:
-    """Writes to a file descriptor without ever waiting for its reader.
+    """Writes to a file descriptor without waiting for its reader.
 
     Parameters
     ----------
     descriptor : int
-        Set to non-blocking here.
+        File descriptor; it is set to non-blocking.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -34,7 +34,7 @@
         os.set_blocking(descriptor, False)
 
     def add(self, line: bytes) -> None:
-        """Take one line; drop it if too much is waiting."""
+        """Buffer one line; drop it if more than `MAX_PENDING_BYTES` would be pending."""
         if len(self._pending) + len(line) > MAX_PENDING_BYTES:
             self.dropped += 1
             return
@@ -43,14 +43,14 @@
             self.flush()
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
+        """Write as many pending bytes as the descriptor accepts without blocking."""
         while self._pending:
             try:
                 written = os.write(self._descriptor, self._pending)
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody can be told: the log itself is gone.
+                # The log itself is unavailable, so the error cannot be reported.
                 self.dropped += self._pending.count(b"\n")
                 self._pending.clear()
                 return
@@ -58,14 +58,14 @@
 
 
 class JsonLineHandler(logbook.Handler):
-    """Turns records into JSON lines.
+    """Encodes log records as JSON lines.
 
     Parameters
     ----------
     writer : PipeWriter
-        Gets the lines.
+        Receives the lines.
     node : str
-        Named in each line.
+        Id of the node; part of each line.
     """
 
     def __init__(self, writer: PipeWriter, node: str) -> None:
@@ -82,18 +82,19 @@
 
 
 class JsonEventLog:
-    """An `EventLog` on logbook with a bound on the decisions of each second.
+    """An `EventLog` based on logbook that limits the decisions logged per second.
 
     Parameters
     ----------
     writer : PipeWriter
-        Gets the lines.
+        Receives the lines.
     node : str
-        Named in each line.
+        Id of the node; part of each line.
     clock : callable
         Returns seconds on a monotonic clock.
     decisions_per_second : int
-        Decisions beyond are counted, and told by an event in the next second.
+        Decisions beyond this limit are counted; an event with their number is logged when the
+        next second begins.
     """
 
     def __init__(
@@ -105,34 +106,34 @@
         self._clock = clock
         self._second = 0
         self._written = 0
-        self._left_out = 0
+        self._over_rate = 0
         self.decisions_per_second = decisions_per_second
 
     def event(self, name: str, **fields: object) -> None:
-        """Note something that changes what the process believes, and write it at once."""
+        """Log a change of the state that the process observes or assumes; flush immediately."""
         self._logger.info(name, fields=fields)
         self._writer.flush()
 
     def decision(self, name: str, **fields: object) -> None:
-        """Note a decision that touches one request."""
+        """Log a decision about a single request, unless the limit of this second is reached."""
         second = int(self._clock())
         if second != self._second:
-            self._begin(second)
+            self._begin_second(second)
         if self._written >= self.decisions_per_second:
-            self._left_out += 1
+            self._over_rate += 1
             return
         self._written += 1
         self._logger.info(name, fields=fields)
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
+        """Write as many pending bytes as the descriptor accepts without blocking."""
         self._writer.flush()
 
-    def _begin(self, second: int) -> None:
+    def _begin_second(self, second: int) -> None:
         self._second = second
         self._written = 0
-        if self._left_out or self._writer.dropped:
-            left_out, dropped = self._left_out, self._writer.dropped
-            self._left_out = 0
+        if self._over_rate or self._writer.dropped:
+            over_rate, dropped = self._over_rate, self._writer.dropped
+            self._over_rate = 0
             self._writer.dropped = 0
-            self.event("lines_left_out", over_rate=left_out, unread=dropped)
+            self.event("lines_left_out", over_rate=over_rate, unread=dropped)
--- a/src/hoisthook/adapter/json_log.py
+++ b/src/hoisthook/adapter/json_log.py
@@ -1,4 +1,4 @@
-"""Decisions and events as JSON lines, through logbook."""
+"""Log of decisions and events as JSON lines, based on logbook."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
     Parameters
     ----------
     stream : TextIO
-        Written to by `flush`, and whenever `FLUSH_BYTES` are waiting.
+        Written to by `flush`, and whenever more than `FLUSH_BYTES` are buffered.
     node : str
-        Named in each line.
+        Id of the node; part of each line.
     """
 
     def __init__(self, stream: TextIO, node: str) -> None:
@@ -46,7 +46,7 @@
             self.flush()
 
     def flush(self) -> None:
-        """Write what is waiting."""
+        """Write the buffered lines."""
         if not self._buffer:
             return
         data = self._buffer.decode()
@@ -59,14 +59,14 @@
 
 
 class JsonDecisionLog:
-    """A `DecisionLog` on logbook.
+    """A `DecisionLog` based on logbook.
 
     Parameters
     ----------
     handler : JsonLinesHandler
-        Gets the records.
+        Receives the records.
     decisions : bool
-        False leaves out decisions and keeps events.
+        Whether decisions are logged; events always are.
     """
 
     def __init__(self, handler: JsonLinesHandler, *, decisions: bool) -> None:
@@ -76,7 +76,7 @@
         self._decisions = decisions
 
     def routed(self, call: Call, done: Dispatched, code: ResultCode, cost: float) -> None:
-        """Note what became of a call."""
+        """Log the outcome of a call."""
         if not self._decisions:
             return
         fields = {
@@ -92,7 +92,7 @@
         self._logger.info("routed", fields=fields)
 
     def refused(self, call: Call, backend_server: str, code: ResultCode) -> None:
-        """Note that a call was not admitted beside."""
+        """Log that the local backend server did not admit a call."""
         if not self._decisions:
             return
         fields = {
@@ -106,15 +106,15 @@
         self._logger.info("refused", fields=fields)
 
     def event(self, name: str, **fields: object) -> None:
-        """Note anything else, and write it at once."""
+        """Log any other event and flush immediately."""
         self._logger.info(name, fields=fields)
         self._handler.flush()
 
     def flush(self) -> None:
-        """Write what is waiting."""
+        """Write the buffered lines."""
         self._handler.flush()
 
 
 def stderr_log(node: str, *, decisions: bool) -> JsonDecisionLog:
-    """Return a log on standard error."""
+    """Return a log that writes to standard error."""
     return JsonDecisionLog(JsonLinesHandler(sys.stderr, node), decisions=decisions)
--- a/src/hoisthook/adapter/literal_resolver.py
+++ b/src/hoisthook/adapter/literal_resolver.py
@@ -1,4 +1,4 @@
-"""Addresses are IP numbers, so nothing is looked up and no thread is started."""
+"""Resolver for literal IP addresses; it needs no look-ups and no threads."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 
 class LiteralResolver(AbstractResolver):
-    """A resolver for aiosonic, whose own would start a thread for each look-up."""
+    """A resolver for aiosonic, whose default one would start a thread for each look-up."""
 
     async def resolve(
         self, host: str, port: int = 0, family: int = socket.AF_INET
     ) -> list[dict[str, Any]]:
-        """Return the one address that an IP number stands for.
+        """Return the socket address of a literal IP address.
 
         Raises
         ------
         ValueError
-            If ``host`` is a name.
+            If ``host`` is not an IP address.
         """
         version = ipaddress.ip_address(host).version
         return [
--- a/src/hoisthook/adapter/logged_store.py
+++ b/src/hoisthook/adapter/logged_store.py
@@ -1,4 +1,4 @@
-"""A store whose calls leave a log line each, so that their cost can be told by kind."""
+"""A store that logs each call, so that the cost of calls can be analysed by kind."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
     Result = TypeVar("Result")
 
 
-# Of the records that cannot be read a line names the first, each by its beginning.
+# An event lists at most this many unreadable records, each name truncated.
 MAX_LOGGED_RECORDS = 5
 MAX_LOGGED_NAME = 80
 
 
 class LoggedStore:
-    """A `hoisthook.port.record_store.RecordStore` in front of another.
+    """A `hoisthook.port.record_store.RecordStore` that delegates to another and logs the calls.
 
     Parameters
     ----------
     store : RecordStore
-        Called.
+        Store that the calls go to.
     clock : Clock
-        Monotonic.
+        Monotonic clock.
     log : EventLog
-        Gets a line for each call.
+        Receives an event for each call.
     """
 
     def __init__(self, store: RecordStore, clock: Clock, log: EventLog) -> None:
@@ -46,21 +46,21 @@
     async def newest(self, topic: str) -> RecordPage:
         """Return the newest record of each key."""
         page = await self._logged("newest", topic, self._store.newest(topic))
-        self._note_unreadable(topic, page)
+        self._log_unreadable(topic, page)
         return page
 
     async def changes(self, topic: str, offset: int, wait: float) -> RecordPage | None:
-        """Return records from ``offset`` on, waiting up to ``wait`` seconds for one."""
+        """Return records from ``offset`` on, waiting up to ``wait`` seconds for the first."""
         page = await self._logged("changes", topic, self._store.changes(topic, offset, wait))
         if page is not None:
-            self._note_unreadable(topic, page)
+            self._log_unreadable(topic, page)
         return page
 
     async def put(self, topic: str, record: KeyedRecord) -> int:
-        """Write a record; return its offset."""
+        """Write a record and return its offset."""
         return await self._logged("put", topic, self._store.put(topic, record))
 
-    def _note_unreadable(self, topic: str, page: RecordPage) -> None:
+    def _log_unreadable(self, topic: str, page: RecordPage) -> None:
         if page.unreadable:
             self._log.event(
                 "records_unreadable",
@@ -71,7 +71,7 @@
             )
 
     async def _logged(self, call: str, topic: str, result: Awaitable[Result]) -> Result:
-        begun = self._clock.now()
+        started = self._clock.now()
         reason = ""
         try:
             return await result
@@ -79,5 +79,5 @@
             reason = error.detail
             raise
         finally:
-            took = round((self._clock.now() - begun) * 1000.0, 1)
-            self._log.event("store_called", call=call, topic=topic, took_ms=took, reason=reason)
+            took_ms = round((self._clock.now() - started) * 1000.0, 1)
+            self._log.event("store_called", call=call, topic=topic, took_ms=took_ms, reason=reason)
--- a/src/hoisthook/adapter/loop_errors.py
+++ b/src/hoisthook/adapter/loop_errors.py
@@ -1,4 +1,4 @@
-"""Errors that nothing awaits, as lines of the log instead of text on standard error."""
+"""Logs exceptions that no code awaits as events instead of text on standard error."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
     from hoisthook.port.event_log import EventLog
 
-# The innermost frames name the line that failed.
-FRAMES = 4
+# Innermost frames of a traceback that are logged; they identify the failing line.
+MAX_LOGGED_FRAMES = 4
 
 
 def log_loop_errors(loop: asyncio.AbstractEventLoop, log: EventLog) -> None:
-    """Have the loop write a line for each error of a task or callback that nothing awaits."""
+    """Make the loop log each exception of a task or callback that no code awaits."""
 
     def handle(_: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         error = context.get("exception")
@@ -33,5 +33,5 @@
 def _frames(error: BaseException | None) -> list[str]:
     if error is None:
         return []
-    frames = traceback.extract_tb(error.__traceback__)[-FRAMES:]
+    frames = traceback.extract_tb(error.__traceback__)[-MAX_LOGGED_FRAMES:]
     return [f"{frame.name}:{frame.lineno}" for frame in frames]
--- a/src/hoisthook/adapter/loop_stalls.py
+++ b/src/hoisthook/adapter/loop_stalls.py
@@ -1,4 +1,4 @@
-"""Tells of times in which the event loop stood still."""
+"""Detects stalls of the event loop."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
     from hoisthook.port.event_log import EventLog
 
 TICK_SECONDS = 0.1
-# Other nodes take this node for silent after as long, at the least.
+# Shortest silence after which other nodes consider this node unresponsive.
 STALL_SECONDS = 0.05
 
 
 class LoopStalls:
-    """Writes a line whenever a timer of the loop fires late.
+    """Logs an event whenever a timer of the event loop fires late.
 
-    A stall that ends between two ticks shows shorter than it was, by up to `TICK_SECONDS`.
+    The reported duration of a stall may be too short by up to `TICK_SECONDS`.
 
     Parameters
     ----------
     log : EventLog
-        Gets the lines.
+        Receives the events.
 
     Attributes
     ----------
     seconds : float
-        Sum of all stalls since the start.
+        Total duration of all stalls since the start.
     """
 
     def __init__(self, log: EventLog) -> None:
@@ -35,12 +35,12 @@
         self.seconds = 0.0
 
     def start(self) -> None:
-        """Begin to watch the running loop."""
+        """Start monitoring the running loop."""
         loop = asyncio.get_running_loop()
         self._timer = loop.call_later(TICK_SECONDS, self._tick, loop.time() + TICK_SECONDS)
 
     def close(self) -> None:
-        """Stop watching."""
+        """Stop monitoring."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
--- a/src/hoisthook/adapter/metered_log.py
+++ b/src/hoisthook/adapter/metered_log.py
@@ -1,4 +1,4 @@
-"""Counts what is logged, so that metrics and log lines never disagree."""
+"""Counts logged events and decisions, so that metrics and log agree."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 ANSWERED = "answered"
 NOT_ADMITTED = "not_admitted"
 EXTRA_TRY = "extra_try"
-# Times of answers that are kept until the metrics are asked for: a few hundred kilobytes.
-MAX_KEPT_TIMES = 10_000
+# Answer times buffered until the metrics are requested; a few hundred kilobytes.
+MAX_BUFFERED_TIMES = 10_000
 
 
 class MeteredLog:
-    """An `EventLog` that hands lines on and counts them.
+    """An `EventLog` that counts events and decisions and passes them on.
 
-    A decision beyond the log's bound is counted here all the same. The metrics library is
-    loaded when the metrics are first asked for: at the start it took 46 of 205 ms of processor
-    time and 3.3 of 29.8 MB (medians of three), during which a node that comes back serves nobody.
+    Decisions that the log drops because of its rate limit are counted as well. The metrics library
+    is imported on the first request for metrics: at start-up it took 46 of 205 ms of processor
+    time and 3.3 of 29.8 MB (medians of three), which delays a restarted node's first answers.
 
     Parameters
     ----------
     log : EventLog
-        Gets the lines.
+        Receives the events and decisions.
     """
 
     def __init__(self, log: EventLog) -> None:
@@ -38,18 +38,18 @@
         self._times: list[tuple[str, float]] = []
 
     def event(self, name: str, **fields: object) -> None:
-        """Note something that changes what the process believes."""
+        """Count and log an event."""
         self._counts["events", name] += 1
         self._log.event(name, **fields)
 
     def decision(self, name: str, **fields: object) -> None:
-        """Note a decision that touches one request."""
+        """Count and log a decision about a single request."""
         if name == ANSWERED:
             code = str(fields["code"])
             self._counts["answers", code] += 1
             self._times.append((code, cast("float", fields["took_ms"]) / 1000.0))
-            if len(self._times) >= MAX_KEPT_TIMES:
-                self._fold()
+            if len(self._times) >= MAX_BUFFERED_TIMES:
+                self._flush_to_meters()
         elif name == NOT_ADMITTED:
             self._counts["not_admitted", str(fields["code"])] += 1
         elif name == EXTRA_TRY:
@@ -59,17 +59,17 @@
         self._log.decision(name, **fields)
 
     def text(self, status: NodeStatus) -> bytes:
-        """Return all metrics as text.
+        """Return all metrics in the Prometheus text format.
 
         Parameters
         ----------
         status : NodeStatus
-            Shown as gauges.
+            Exported as gauges.
         """
-        return self._fold().text(status)
+        return self._flush_to_meters().text(status)
 
-    def _fold(self) -> Meters:
-        """Hand what was counted to the metrics library."""
+    def _flush_to_meters(self) -> Meters:
+        """Transfer the buffered counts and times to the metrics library."""
         if self._meters is None:
             from hoisthook.adapter.meters import Meters
 
--- a/src/hoisthook/adapter/meters.py
+++ b/src/hoisthook/adapter/meters.py
@@ -1,4 +1,4 @@
-"""Counters, histograms and gauges of a node, as the metrics library keeps them."""
+"""Prometheus counters, histograms and gauges of a node."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 if TYPE_CHECKING:
     from hoisthook.mesh.node_status import NodeStatus
 
-# Seconds; from a hop's time to beyond the longest timeout of the users' routes.
+# Upper bounds in seconds, from the duration of a hop to beyond the longest timeout of the routes.
 LATENCY_BUCKETS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.4, 0.6, 1.0, 2.0, 4.0)
-# What each counter counts, and by what.
+# Help text and label of each counter.
 _COUNTERS = {
     "events": ("Changes of belief by name.", "event"),
     "answers": ("Callers' requests by result code.", "code"),
@@ -26,13 +26,13 @@
 
 
 class Meters:
-    """Everything that the metrics address shows."""
+    """All metrics that the metrics endpoint exports."""
 
     def __init__(self) -> None:
         self._registry = CollectorRegistry()
         self._counter_by_name = {
-            name: Counter(f"hoisthook_{name}", meaning, [label], registry=self._registry)
-            for name, (meaning, label) in _COUNTERS.items()
+            name: Counter(f"hoisthook_{name}", help_text, [label], registry=self._registry)
+            for name, (help_text, label) in _COUNTERS.items()
         }
         self._seconds = Histogram(
             "hoisthook_answer_seconds",
@@ -42,8 +42,8 @@
             registry=self._registry,
         )
         self._gauge_by_name = {
-            name: Gauge(f"hoisthook_{name}", meaning, registry=self._registry)
-            for name, meaning in _GAUGE_MEANINGS.items()
+            name: Gauge(f"hoisthook_{name}", help_text, registry=self._registry)
+            for name, help_text in _GAUGE_HELP_TEXTS.items()
         }
 
     def count(self, counter: str, label: str, times: int) -> None:
@@ -51,16 +51,16 @@
         self._counter_by_name[counter].labels(label).inc(times)
 
     def answered(self, code: str, seconds: float) -> None:
-        """Take in how long a request took."""
+        """Record the duration of a request."""
         self._seconds.labels(code).observe(seconds)
 
     def text(self, status: NodeStatus) -> bytes:
-        """Return all metrics as text.
+        """Return all metrics in the Prometheus text format.
 
         Parameters
         ----------
         status : NodeStatus
-            Shown as gauges.
+            Exported as gauges.
         """
         for name, value in (
             ("ready", float(status.ready)),
@@ -86,7 +86,7 @@
         return generate_latest(self._registry)
 
 
-_GAUGE_MEANINGS = {
+_GAUGE_HELP_TEXTS = {
     "ready": "Whether callers may be sent here.",
     "running": "Requests that hold a slot of the backend server beside.",
     "waiting": "Requests that wait for one.",
--- a/src/hoisthook/adapter/operator_service.py
+++ b/src/hoisthook/adapter/operator_service.py
@@ -1,4 +1,4 @@
-"""The operators' calls, answered by this node."""
+"""gRPC service for operators."""
 
 from __future__ import annotations
 
@@ -29,18 +29,18 @@
 
 
 class OperatorService(OperatorBase):
-    """Implements the published schema over this node's state.
+    """Implements the published schema on the state of this node.
 
     Parameters
     ----------
     writer : ConfigurationWriter
-        Takes changes.
+        Submits changes.
     state : ConfigurationState
-        Read for lists.
+        Configuration that is listed.
     table : MemberTable
-        Read for backend servers.
+        Members whose backend servers are listed.
     status : callable
-        Returns the node's status message.
+        Returns the status message of the node.
     """
 
     def __init__(
@@ -76,12 +76,14 @@
     async def SetDrain(  # noqa: N802
         self, stream: Stream[pb.SetDrainRequest, pb.ChangeReply]
     ) -> None:
-        """Say whether a backend server takes new work."""
+        """Drain a backend server, or let it take requests again."""
         request = await stream.recv_message()
         assert request is not None
         if not request.expected and not self._is_known(request.backend_server):
-            detail = f"no node knows a backend server {request.backend_server!r}"
-            await stream.send_message(_not_found(f"{detail}; --expected is for one to come"))
+            detail = f"no node has announced backend server {request.backend_server!r}"
+            await stream.send_message(
+                _not_found(f"{detail}; use --expected for one that has not started yet")
+            )
             return
         change = SetDrain(request.backend_server, request.drained)
         await stream.send_message(await self._submit(request.header, change))
@@ -89,11 +91,13 @@
     async def SetEvacuation(  # noqa: N802
         self, stream: Stream[pb.SetEvacuationRequest, pb.ChangeReply]
     ) -> None:
-        """Say whether the backend servers of a data centre take new work."""
+        """Evacuate a data centre, or let its backend servers take requests again."""
         request = await stream.recv_message()
         assert request is not None
         if not self._has_data_centre(request.data_centre):
-            await stream.send_message(_not_found(f"no node stands in {request.data_centre!r}"))
+            await stream.send_message(
+                _not_found(f"no node is known in data centre {request.data_centre!r}")
+            )
             return
         change = SetEvacuation(request.data_centre, request.evacuated)
         await stream.send_message(await self._submit(request.header, change))
@@ -148,7 +152,7 @@
     async def History(  # noqa: N802
         self, stream: Stream[pb.HistoryRequest, pb.HistoryReply]
     ) -> None:
-        """Return the newest changes, lost races included."""
+        """Return the newest changes, including those rejected in favour of a concurrent change."""
         request = await stream.recv_message()
         assert request is not None
         outcomes = (
@@ -176,16 +180,16 @@
 
     async def _submit(self, header: pb.ChangeHeader, change: Change) -> pb.ChangeReply:
         record = ChangeRecord(header.operation_id, header.base_revision, change, header.author)
-        done = await self._configuration_writer.submit(record)
-        if isinstance(done, Err):
-            failure = done.err_value
+        outcome = await self._configuration_writer.submit(record)
+        if isinstance(outcome, Err):
+            failure = outcome.err_value
             return pb.ChangeReply(
                 code=failure.code.number,
                 code_name=failure.code.name,
                 detail=failure.detail,
                 revision=failure.winner,
             )
-        return pb.ChangeReply(code_name=ResultCode.OK.name, revision=done.ok_value.winner)
+        return pb.ChangeReply(code_name=ResultCode.OK.name, revision=outcome.ok_value.winner)
 
     def _is_known(self, backend_server: str) -> bool:
         if backend_server in self._state.drained:
--- a/src/hoisthook/adapter/statsd_metrics.py
+++ b/src/hoisthook/adapter/statsd_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics to a statsd server, in one burst an interval."""
+"""Sends metrics to a statsd server, in one batch per interval."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class StatsdMetrics:
-    """Sends counters as differences and gauges as they are.
+    """Sends counters as increments and gauges as absolute values.
 
     Parameters
     ----------
     address : Address
-        UDP, by IP number.
+        IP address and UDP port of the server.
     prefix : str
-        Put before each name.
+        Prefix of each metric name.
     """
 
     def __init__(self, address: Address, prefix: str) -> None:
@@ -33,9 +33,9 @@
         Parameters
         ----------
         counters : mapping of str to float
-            Totals since the start; sent as the difference to the last call.
+            Totals since the start; the increment since the last call is sent.
         gauges : mapping of str to float
-            Present values.
+            Current values.
         """
         with self._client.pipeline() as pipe:
             for name, total in counters.items():
--- a/src/hoisthook/adapter/suspend_aware_loop.py
+++ b/src/hoisthook/adapter/suspend_aware_loop.py
@@ -1,4 +1,4 @@
-"""An event loop whose clock goes on while the machine is suspended."""
+"""An event loop whose clock includes the time for which the machine is suspended."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 
 class SuspendAwareLoop(asyncio.SelectorEventLoop):
-    """Timers, deadlines and leases by `CLOCK_BOOTTIME`.
+    """An event loop with timers, deadlines and leases based on `CLOCK_BOOTTIME`.
 
-    The steady clock stands still while a machine is suspended: a node that wakes would go on with
-    requests whose callers are gone, on leases that have run out, and hand backend servers time
-    that nobody has any more.
+    `CLOCK_MONOTONIC` stops while the machine is suspended: a node that resumes would continue
+    requests whose callers have disconnected, rely on expired leases, and send backend servers
+    deadlines that have already passed.
     """
 
     def time(self) -> float:
-        """Return seconds since the machine's start, those of its suspensions included."""
+        """Return the seconds since the machine booted, including time suspended."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def run(main: Coroutine[object, object, Result]) -> Result:
-    """Run a program's main coroutine on such a loop."""
+    """Run a program's main coroutine on a `SuspendAwareLoop`."""
     with asyncio.Runner(loop_factory=SuspendAwareLoop) as runner:
         return runner.run(main)
--- a/src/hoisthook/mesh/hop_server.py
+++ b/src/hoisthook/mesh/hop_server.py
@@ -104,7 +104,7 @@
                 return
 
         async def admitted() -> None:
-            exchange.go_ahead()
+            exchange.send_continue()
             if held_back:
                 call.body = await exchange.body.read_all(piece_timeout=PIECE_SECONDS)
                 call.is_complete = True
--- a/src/hoisthook/mesh/mesh_node.py
+++ b/src/hoisthook/mesh/mesh_node.py
@@ -198,7 +198,7 @@
         self._hop_server = HopServer(service, self.link, self.sync, self._link_pacer, clock, log)
         self._callers = CallServer(parse_address(settings.listen.callers), self._ingress.handle)
         self._peers = CallServer(
-            parse_address(settings.listen.peers), self._serve_peer, continues_at_once=False
+            parse_address(settings.listen.peers), self._serve_peer, auto_continue=False
         )
 
     @property
--- a/src/hoisthook/node/local_backend.py
+++ b/src/hoisthook/node/local_backend.py
@@ -296,6 +296,6 @@
         else:
             # A cancelled request holds its slot until the backend server has noticed.
             connection.close()
-            connection.on_gone(lambda: self.gate.release(ticket, self._clock.now()))
+            connection.on_fully_closed(lambda: self.gate.release(ticket, self._clock.now()))
         if failed is not None:
             self.state.answered(now, failed=failed)
--- a/src/hoisthook/port/__init__.py
+++ b/src/hoisthook/port/__init__.py
@@ -1,3 +1,3 @@
-"""Protocols that the core calls and adapters fill."""
+"""Protocols that the core depends on and adapters implement."""
 
 from __future__ import annotations
--- a/src/hoisthook/port/backend_wire.py
+++ b/src/hoisthook/port/backend_wire.py
@@ -1,4 +1,4 @@
-"""How a backend server is spoken to."""
+"""Protocol between a node and its backend server, independent of the platform."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendLoad:
-    """What a backend server says about its load.
+    """Load that a backend server reports.
 
     Attributes
     ----------
     running : int
         Requests that hold a slot.
     waiting : int
-        Requests in its own queue.
+        Requests in the backend server's own queue.
     slots : int
-        What it can run at once.
+        Requests that it can run concurrently.
     slowdown : float
-        How many times its usual time work takes there at this moment.
+        Current service time as a multiple of the usual one; 1 is normal speed.
     """
 
     running: int
@@ -39,7 +39,12 @@
 
 
 class AnswerKind(Enum):
-    """What an answer says about the request."""
+    """What an answer shows about the execution of its request.
+
+    ``OWN`` is the backend server's own answer, ``NOT_RUN`` states that the request was not
+    executed, ``OTHER_INSTANCE`` that another incarnation was expected, and ``SPOILED`` is an
+    answer that must not be forwarded, such as an unsigned success.
+    """
 
     OWN = "own"
     NOT_RUN = "not-run"
@@ -49,20 +54,20 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerReading:
-    """An answer's head, read.
+    """Decoded head of an answer.
 
     Attributes
     ----------
     kind : AnswerKind
-        What it says.
+        What the answer shows about the execution.
     load : BackendLoad or None
-        The load it reports.
+        The reported load; None if it is absent or malformed.
     instance : InstanceId or None
-        Which incarnation of the backend server answered, if it says so.
+        Incarnation of the backend server that answered; None if it is not stated.
     headers : list of Header
-        To hand on to the caller, end to end.
+        End-to-end headers to forward to the caller.
     cold_seconds : float
-        For how long the backend server says that it is cold; 0 if it says nothing.
+        Remaining cold start that the backend server reports, in seconds; 0 if it reports none.
     """
 
     kind: AnswerKind
@@ -74,18 +79,19 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendRequestHead:
-    """What the node adds to a request for its backend server.
+    """Values that the node adds to a request for its backend server.
 
     Attributes
     ----------
     instance : InstanceId or None
-        The only incarnation that may run it; None if none is known.
+        The only incarnation that may execute the request; None if none is known.
     caller_service : ServiceName
-        The service beside which the request began.
+        The service whose local node was the ingress of the request.
     time_left : float
-        Seconds after which its answer is of no use.
+        Seconds until the deadline of the request.
     team : TeamName or None
-        Who asks; None where teams are not told apart or none is known.
+        Team that the request belongs to; None without teams in the configuration, or if it is
+        unknown.
     """
 
     instance: InstanceId | None
@@ -95,16 +101,16 @@
 
 
 class BackendWire(Protocol):
-    """Translates between the product and a backend server."""
+    """Encodes requests for a backend server and decodes its answers."""
 
     def added_headers(self, head: BackendRequestHead) -> list[Header]:
         """Return the headers that the node adds."""
 
     def answers(self, head: AnswerHead, request_id: RequestId) -> bool:
-        """Return whether an answer belongs to that request and to no other."""
+        """Return whether an answer belongs to the request with this id."""
 
     def answers_health(self, head: AnswerHead) -> bool:
-        """Return whether an answer can be that to a health check, and not a late one."""
+        """Return whether an answer can be that of a health check, not a late one to a request."""
 
     def read(self, head: AnswerHead) -> AnswerReading:
-        """Return what an answer's head says."""
+        """Decode the head of an answer."""
--- a/src/hoisthook/port/caller_wire.py
+++ b/src/hoisthook/port/caller_wire.py
@@ -1,4 +1,4 @@
-"""How callers' requests and their answers look on the wire."""
+"""Protocol between callers and a node, independent of the platform."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 
 @dataclass(slots=True)
 class CallerRequest:
-    """What a caller's request head says.
+    """Decoded head of a caller's request.
 
     Attributes
     ----------
     request_id : RequestId
-        The caller's; unique to this attempt of the caller.
+        Set by the caller; unique to this attempt of the caller.
     host : str
-        Which host was asked for.
+        Requested host.
     path : str
-        Without the query.
+        Path of the target, without the query.
     time_left : float or None
-        Seconds that the caller will wait; None if it does not say.
+        Seconds that the caller will wait; None if it states no deadline.
     headers : list of Header
-        To hand on: end to end, without those that the system sets itself.
+        Headers to forward: end-to-end ones, without those that the system sets itself.
     credentials : list of Header
-        Those that may hold a team's key; handed on only where teams are not told apart.
+        Headers that may hold a team's key; forwarded only if the configuration has no teams.
     key : bytes or None
-        The one key that they hold; None if they hold none, or more than one.
+        The key in the credentials; None if there is none, or more than one credential.
     """
 
     request_id: RequestId
@@ -47,16 +47,16 @@
 
 @dataclass(slots=True)
 class CallerRefusal:
-    """The system's own answer to a caller.
+    """Answer that the system itself sends to a caller instead of a backend server's.
 
     Attributes
     ----------
     status : int
         The HTTP status.
     headers : list of Header
-        All but the framing.
+        All headers but those that frame the body.
     body : bytes
-        For people.
+        Human-readable text.
     """
 
     status: int
@@ -65,18 +65,18 @@
 
 
 class CallerWire(Protocol):
-    """Translates between callers and the product."""
+    """Decodes callers' requests and encodes the system's own answers."""
 
     def decode(self, head: RequestHead) -> CallerRequest | ResultCode:
-        """Return what the head says, or why it cannot be used."""
+        """Decode a request head, or return the result code of its rejection."""
 
     def refusal(self, code: ResultCode, retry_after: float) -> CallerRefusal:
-        """Return the answer that carries a result code.
+        """Return the system's own answer for a result code.
 
         Parameters
         ----------
         code : ResultCode
-            Why there is no backend server's answer.
+            Why no backend server's answer can be sent.
         retry_after : float
-            Seconds after which to come back; 0 to say nothing about it.
+            Seconds after which the caller may retry; 0 to state none.
         """
--- a/src/hoisthook/port/clock.py
+++ b/src/hoisthook/port/clock.py
@@ -1,4 +1,4 @@
-"""Time and randomness, handed in so that tests can own them."""
+"""Time and randomness, passed in so that tests can control them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Randomness(Protocol):
-    """What decisions draw; `random.Random` fits."""
+    """Source of random numbers for decisions; `random.Random` implements it."""
 
     def random(self) -> float:
         """Return a number from 0 up to, not including, 1."""
--- a/src/hoisthook/port/decision_log.py
+++ b/src/hoisthook/port/decision_log.py
@@ -1,4 +1,4 @@
-"""Where decisions are written down."""
+"""Protocol of the log of routing and placement decisions."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class DecisionLog(Protocol):
-    """One line for each routing or placement decision."""
+    """Log with one line for each routing or placement decision."""
 
     def routed(self, call: Call, done: Dispatched, code: ResultCode, cost: float) -> None:
-        """Note what became of a call; ``cost`` is its seconds in this node."""
+        """Log the outcome of a call; ``cost`` is the processing time in this node, in seconds."""
 
     def refused(self, call: Call, backend_server: str, code: ResultCode) -> None:
-        """Note that a call was not admitted beside."""
+        """Log that the local backend server did not admit a call."""
 
     def event(self, name: str, **fields: object) -> None:
-        """Note anything else that an operator may look for."""
+        """Log any other event of interest to operators."""
--- a/src/hoisthook/port/event_log.py
+++ b/src/hoisthook/port/event_log.py
@@ -1,4 +1,4 @@
-"""What decisions and changes of belief are written to."""
+"""Protocol of the structured log of events and decisions."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
     """A structured log."""
 
     def event(self, name: str, **fields: object) -> None:
-        """Note something that changes what the process believes."""
+        """Log a change of the state that the process observes or assumes."""
 
     def decision(self, name: str, **fields: object) -> None:
-        """Note a decision that touches one request."""
+        """Log a decision about a single request."""
--- a/src/hoisthook/port/event_sink.py
+++ b/src/hoisthook/port/event_sink.py
@@ -1,4 +1,4 @@
-"""What changes of belief are written to, on every path of requests."""
+"""Protocol for logging events, common to all request paths."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class EventSink(Protocol):
-    """The part that all logs of a node have in common."""
+    """The method that all logs of a node have in common."""
 
     def event(self, name: str, **fields: object) -> None:
-        """Note something that changes what the process believes."""
+        """Log a change of the state that the process observes or assumes."""
--- a/src/hoisthook/port/peer_transport.py
+++ b/src/hoisthook/port/peer_transport.py
@@ -1,4 +1,4 @@
-"""How a node talks to another about membership and configuration."""
+"""Protocol for exchanging membership and configuration between nodes."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class ConfigurationPage(msgspec.Struct, frozen=True):
-    """Configuration from a peer: a snapshot if the records asked for are gone.
+    """Configuration from a peer, with a snapshot if the requested records are no longer kept.
 
     Attributes
     ----------
     snapshot : Snapshot or None
-        State to begin with.
+        State that the records apply to; None if the requested records are still kept.
     records : tuple of LogRecord
-        What follows, in order.
+        Subsequent records, in order.
     """
 
     snapshot: Snapshot | None
@@ -32,19 +32,19 @@
 
 
 class PeerTransport(Protocol):
-    """Calls to one peer; each raises `OSError` or `TimeoutError` when it does not answer."""
+    """Calls to peers; each raises `OSError` or `TimeoutError` when the peer does not answer."""
 
     async def exchange(self, address: Address, message: Exchange) -> Exchange:
-        """Tell news and get the peer's."""
+        """Send membership updates and return the peer's."""
 
     async def digests(self, address: Address) -> tuple[int, ...]:
-        """Get the digests of the parts of the peer's table."""
+        """Return the digests of the buckets of the peer's member table."""
 
     async def members(self, address: Address, buckets: tuple[int, ...]) -> tuple[Member, ...]:
-        """Get some parts of the peer's table; all if ``buckets`` is empty."""
+        """Return the members in some buckets of the peer's table; all if ``buckets`` is empty."""
 
     async def configuration(self, address: Address, after: int) -> ConfigurationPage:
-        """Get what the peer has applied after offset ``after``."""
+        """Return the configuration that the peer has applied after offset ``after``."""
 
     async def close(self) -> None:
-        """Drop connections."""
+        """Close all connections."""
--- a/src/hoisthook/port/platform_log.py
+++ b/src/hoisthook/port/platform_log.py
@@ -1,4 +1,4 @@
-"""The platform's append-only log, as hoisthook uses it."""
+"""Protocol of the platform's append-only log."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
     Attributes
     ----------
     earliest : int
-        Offset of the oldest record still kept; equal to ``next`` in an empty stream.
+        Offset of the oldest retained record; equal to ``next`` in an empty stream.
     next : int
         Offset that the next append will get.
     records : tuple of LogRecord
-        In order, starting at the offset asked for or at ``earliest`` if that is later.
+        In order, starting at the requested offset, or at ``earliest`` if that is later.
     """
 
     earliest: int
@@ -33,7 +33,7 @@
 
 
 class PlatformLog(Protocol):
-    """Streams of records with consecutive offsets, kept for a limited time."""
+    """Streams of records with consecutive offsets, retained for a limited time."""
 
     async def append(self, stream: str, payload: bytes) -> int:
         """Append a record and return its offset.
@@ -41,13 +41,13 @@
         Raises
         ------
         LogUnavailableError
-            If the record was certainly not taken.
+            If the record was certainly not appended.
         AppendUnknownError
-            If the answer was lost: the record may or may not be in the log.
+            If the answer was lost: the record may or may not have been appended.
         """
 
     async def read(self, stream: str, offset: int, *, wait: float = 0.0) -> LogPage:
-        """Return records from ``offset`` on, waiting up to ``wait`` seconds for one.
+        """Return records from ``offset`` on, waiting up to ``wait`` seconds for the first.
 
         Raises
         ------
@@ -56,4 +56,4 @@
         """
 
     async def close(self) -> None:
-        """Drop connections."""
+        """Close all connections."""
--- a/src/hoisthook/port/record_store.py
+++ b/src/hoisthook/port/record_store.py
@@ -1,4 +1,4 @@
-"""The platform's store of keyed records."""
+"""Protocol of the platform's store of keyed records."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyedRecord:
-    """One record.
+    """One record of a topic.
 
     Attributes
     ----------
     key : str
-        Its key; the newest record of a key counts.
+        Key of the record; its newest record is the current one.
     value : bytes
-        Empty for a key that was removed.
+        Content; empty for a key that was removed.
     offset : int
-        Where it stands in its topic; -1 for one that is not written yet.
+        Position in the topic; -1 for a record that is not written yet.
     """
 
     key: str
@@ -27,19 +27,20 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordPage:
-    """Records and where to read on.
+    """Records and the offset to continue reading from.
 
     Attributes
     ----------
     records : tuple of KeyedRecord
         Oldest first.
     end : int
-        Offset of the next record to come; of a list in several parts, when the first was read.
+        Offset of the next record to be written; of a list read in several pages, as of the first
+        page.
     unreadable : tuple of str
-        What cannot be read, by key or offset; the other records hold.
+        Records that cannot be decoded, by key or offset; the other records are valid.
     era : int or None
-        Grows each time the store comes back from an older copy, with offsets of its own; None
-        where the store does not say.
+        Number of the store's history; it grows each time the store is restored from an older copy,
+        whose offsets then diverge. None if the store does not report it.
     """
 
     records: tuple[KeyedRecord, ...]
@@ -51,21 +52,21 @@
 class RecordStore(Protocol):
     """Keyed records in named topics.
 
-    Every call raises `StoreUnavailableError` when no usable answer came; a write
-    that raises may have been done or may be done later.
+    Every call raises `StoreUnavailableError` if there is no usable answer; a write that
+    raises may have been applied or may still be applied later.
     """
 
     async def newest(self, topic: str) -> RecordPage:
         """Return the newest record of each key."""
 
     async def changes(self, topic: str, offset: int, wait: float) -> RecordPage | None:
-        """Return records from ``offset`` on, waiting up to ``wait`` seconds for one.
+        """Return records from ``offset`` on, waiting up to ``wait`` seconds for the first.
 
         Returns
         -------
         RecordPage or None
-            None if records from ``offset`` on are not kept any more.
+            None if the records from ``offset`` on are no longer retained.
         """
 
     async def put(self, topic: str, record: KeyedRecord) -> int:
-        """Write a record; return its offset, by which records written at once are numbered."""
+        """Write a record and return its offset, which orders concurrent writes."""
--- a/standin/soak_load.py
+++ b/standin/soak_load.py
@@ -22,7 +22,7 @@
     from standin.mesh_cluster import MeshPlace
 
 # Statuses that promise that a request has not run and never will.
-PROMISES = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 # Statuses that a proper request must not get.
 DENIALS = frozenset({400, 404, 413})
 CALL_SECONDS = 1.5
@@ -112,7 +112,7 @@
         self._findings.statuses[head.status] += 1
         if head.status == 200 and body != f"body of {name}".encode():
             self._findings.broken.append(f"{name}: another request's answer, {body!r}")
-        if head.status in PROMISES:
+        if head.status in NOT_RUN_STATUSES:
             self._findings.promised.add(name)
         if body.startswith(REFUSED_WORK) and path != CRASHING_PATH:
             self._findings.broken.append(f"{name}: refused for what another request did")
--- a/tests/adapter/http/test_client_connection.py
+++ b/tests/adapter/http/test_client_connection.py
@@ -110,7 +110,7 @@
     await connection.send(REQUEST)
     gone = asyncio.Event()
     connection.close()
-    connection.on_gone(gone.set)
+    connection.on_fully_closed(gone.set)
     assert connection.closed
     assert not gone.is_set()
     await asyncio.wait_for(gone.wait(), 5)
--- a/tests/adapter/test_metered_log.py
+++ b/tests/adapter/test_metered_log.py
@@ -75,7 +75,7 @@
 
 
 def test_kept_times_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(metered_log, "MAX_KEPT_TIMES", 10)
+    monkeypatch.setattr(metered_log, "MAX_BUFFERED_TIMES", 10)
     log = MeteredLog(ListLog())
     for number in range(25):
         log.decision("answered", request=str(number), code=0, took_ms=1.0)
--- a/tests/mesh/test_leaving_entry.py
+++ b/tests/mesh/test_leaving_entry.py
@@ -22,12 +22,12 @@
     system: MeshSystem, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The word that a request is admitted waits on a link that carries something else."""
-    go_ahead = ServerExchange.go_ahead
+    send_continue = ServerExchange.send_continue
 
     def late(exchange: ServerExchange) -> None:
-        asyncio.get_running_loop().call_later(SILENT_SECONDS, go_ahead, exchange)
+        asyncio.get_running_loop().call_later(SILENT_SECONDS, send_continue, exchange)
 
-    monkeypatch.setattr(ServerExchange, "go_ahead", late)
+    monkeypatch.setattr(ServerExchange, "send_continue", late)
     ingress = await system.add("front")
     server = await system.add("shop")
     system.introduce_all()
--- a/tests/node/test_leaving.py
+++ b/tests/node/test_leaving.py
@@ -145,7 +145,7 @@
 def no_grace(monkeypatch: pytest.MonkeyPatch) -> None:
     """Let only the wait for requests in progress keep them from being cut."""
     monkeypatch.setattr(node_module, "FAREWELL_SECONDS", 0.0)
-    monkeypatch.setattr(call_server, "LEAVE_GRACE_SECONDS", 0.0)
+    monkeypatch.setattr(call_server, "IDLE_CLOSE_DELAY_SECONDS", 0.0)
 
 
 async def test_closed_node_is_known_to_have_left(system: System) -> None:
--- a/tests/platform/test_wires.py
+++ b/tests/platform/test_wires.py
@@ -2,7 +2,7 @@
 
 import pytest
 from hoisthook_platform.backend_wire import PlatformBackendWire
-from hoisthook_platform.caller_wire import PROMISES
+from hoisthook_platform.caller_wire import NOT_RUN_STATUSES
 from hoisthook_platform.caller_wire import PlatformCallerWire
 from hypothesis import given
 from hypothesis import strategies as st
@@ -70,7 +70,7 @@
 @pytest.mark.parametrize("code", list(ResultCode))
 def test_only_a_code_that_says_not_run_becomes_a_promise(code: ResultCode) -> None:
     refusal = PlatformCallerWire().refusal(code, 0.5)
-    if refusal.status in PROMISES:
+    if refusal.status in NOT_RUN_STATUSES:
         assert code.ran is Ran.NOT_RUN
         assert (b"retry-after", b"0.500") in refusal.headers
 
