--- a/tests/adapter/http/test_bad_input.py
+++ b/tests/adapter/http/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Oversized, malformed, slow and hostile requests: a numbered error, and nobody disturbed."""
+"""Oversized, malformed, slow and hostile requests get a numbered error and harm no other."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
         writer.transport.abort()
 
 
-GOOD = b"GET /good HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n"
+GOOD_REQUEST = b"GET /good HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n"
 
 
 @pytest.mark.parametrize(
@@ -73,7 +73,7 @@
     answer = await exchange_bytes(server, data)
     assert b"hoisthook-result: " + number in answer
     assert b"hoisthook-ran: not-run" in answer
-    assert b"/good|" in await exchange_bytes(server, GOOD)
+    assert b"/good|" in await exchange_bytes(server, GOOD_REQUEST)
 
 
 async def test_slow_head_is_timed_out(server: CallServer) -> None:
@@ -85,16 +85,16 @@
     assert await exchange_bytes(server, b"", finish=False) == b""
 
 
-async def test_body_cut_short_is_no_whole_request(server: CallServer) -> None:
+async def test_truncated_body_is_not_a_complete_request(server: CallServer) -> None:
     answer = await exchange_bytes(server, b"POST / HTTP/1.1\r\ncontent-length: 9\r\n\r\nabc")
     assert b"200 OK" not in answer
 
 
 async def test_answer_before_the_bodys_end_says_that_the_connection_closes() -> None:
-    async def refuse(exchange: ServerExchange) -> None:
+    async def reject(exchange: ServerExchange) -> None:
         exchange.respond(503, [])
 
-    server = CallServer(("127.0.0.1", 0), refuse)
+    server = CallServer(("127.0.0.1", 0), reject)
     await server.start()
     head = b"POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 9\r\n\r\n"
     assert b"connection: close" in await exchange_bytes(server, head, finish=False)
@@ -103,20 +103,20 @@
 
 async def test_many_pipelined_requests_are_answered_in_order(server: CallServer) -> None:
     requests = [b"GET /%d HTTP/1.1\r\nhost: x\r\n\r\n" % number for number in range(50)]
-    answer = await exchange_bytes(server, b"".join(requests) + GOOD, finish=False)
+    answer = await exchange_bytes(server, b"".join(requests) + GOOD_REQUEST, finish=False)
     targets = [line.split(b"|")[0] for line in answer.split(b"\r\n\r\n")[1:] if b"|" in line]
     assert targets == [b"/%d" % number for number in range(50)] + [b"/good"]
 
 
 @given(st.lists(st.binary(min_size=1, max_size=60), max_size=8))
 def test_any_bytes_leave_the_server_serving(pieces: list[bytes]) -> None:
-    async def run() -> None:
+    async def send_and_check() -> None:
         server = CallServer(("127.0.0.1", 0), echo, head_timeout=0.2)
         await server.start()
         try:
             await exchange_bytes(server, b"".join(pieces))
-            assert b"/good|" in await exchange_bytes(server, GOOD)
+            assert b"/good|" in await exchange_bytes(server, GOOD_REQUEST)
         finally:
             server.abort()
 
-    asyncio.run(run())
+    asyncio.run(send_and_check())
--- a/tests/adapter/http/test_client_connection.py
+++ b/tests/adapter/http/test_client_connection.py
@@ -1,4 +1,4 @@
-"""A connection is used again only after an answer that left no doubt."""
+"""A connection is reused only after a complete, framed answer without surplus bytes."""
 
 from __future__ import annotations
 
@@ -14,15 +14,18 @@
     from hoisthook.adapter.http.client_connection import ClientConnection
 
 REQUEST = b"GET / HTTP/1.1\r\nhost: x\r\n\r\n"
-WHOLE = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
+COMPLETE_ANSWER = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
 
 
 class Server:
-    """Answers each request with the next list of pieces, one write each."""
+    """Answers each request with the next list of pieces, one write per piece.
+
+    The first piece is sent at once, the others after `resume` is set.
+    """
 
     def __init__(self, *answers: list[bytes]) -> None:
         self._answers = list(answers)
-        self.go_on = asyncio.Event()
+        self.resume = asyncio.Event()
 
     async def start(self) -> tuple[str, int]:
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
@@ -34,7 +37,7 @@
             await reader.readuntil(b"\r\n\r\n")
             for number, piece in enumerate(pieces):
                 if number:
-                    await self.go_on.wait()
+                    await self.resume.wait()
                 writer.write(piece)
                 await writer.drain()
         await asyncio.Event().wait()
@@ -48,9 +51,9 @@
     return body
 
 
-async def test_whole_answer_leaves_the_connection_for_reuse() -> None:
+async def test_connection_is_reused_after_a_complete_answer() -> None:
     pool = ClientPool()
-    address = await Server([WHOLE], [WHOLE]).start()
+    address = await Server([COMPLETE_ANSWER], [COMPLETE_ANSWER]).start()
     connection = await pool.acquire(address, 1.0)
     assert await exchange(connection) == b"ok"
     pool.keep(address, connection)
@@ -59,9 +62,9 @@
     pool.close()
 
 
-@pytest.mark.parametrize("surplus", [WHOLE, b"garbage", b"HTTP/1.1 2"])
+@pytest.mark.parametrize("surplus", [COMPLETE_ANSWER, b"garbage", b"HTTP/1.1 2"])
 async def test_surplus_in_the_same_segment_ends_the_connection(surplus: bytes) -> None:
-    address = await Server([WHOLE + surplus]).start()
+    address = await Server([COMPLETE_ANSWER + surplus]).start()
     connection = await ClientPool().acquire(address, 1.0)
     assert await exchange(connection) == b"ok"
     assert not connection.reusable
@@ -69,21 +72,21 @@
 
 async def test_surplus_while_idle_ends_the_connection() -> None:
     pool = ClientPool()
-    server = Server([WHOLE, WHOLE.replace(b"ok", b"no")])
+    server = Server([COMPLETE_ANSWER, COMPLETE_ANSWER.replace(b"ok", b"no")])
     address = await server.start()
     connection = await pool.acquire(address, 1.0)
     await exchange(connection)
     pool.keep(address, connection)
-    server.go_on.set()
+    server.resume.set()
     async with asyncio.timeout(5):
         while not connection.closed:
             await asyncio.sleep(0.001)
     assert pool.take_idle(address) is None
 
 
-async def test_connection_given_back_in_the_middle_of_an_answer_is_dropped() -> None:
+async def test_connection_returned_in_the_middle_of_an_answer_is_closed() -> None:
     pool = ClientPool()
-    address = await Server([WHOLE[:-1]]).start()
+    address = await Server([COMPLETE_ANSWER[:-1]]).start()
     connection = await pool.acquire(address, 1.0)
     await connection.send(REQUEST)
     pool.keep(address, connection)
@@ -93,10 +96,13 @@
             pass
 
 
-async def test_connection_that_the_other_side_ends_is_out_of_use_at_once() -> None:
-    """In the turn of the loop before it was closed, a request was written into it."""
+async def test_connection_that_the_other_side_closes_is_not_reused() -> None:
+    """Guards against a request being written into a connection after its end of stream.
+
+    The loop closes such a connection one iteration later, and a request was sent in between.
+    """
     pool = ClientPool()
-    address = await Server([WHOLE]).start()
+    address = await Server([COMPLETE_ANSWER]).start()
     connection = await pool.acquire(address, 1.0)
     await exchange(connection)
     pool.keep(address, connection)
@@ -104,29 +110,29 @@
     assert pool.take_idle(address) is None
 
 
-async def test_cancelled_request_is_gone_only_when_the_other_side_lets_go() -> None:
-    server = Server([WHOLE[:-1]])
+async def test_cancelled_request_ends_when_the_other_side_closes() -> None:
+    server = Server([COMPLETE_ANSWER[:-1]])
     connection = await ClientPool().acquire(await server.start(), 1.0)
     await connection.send(REQUEST)
-    gone = asyncio.Event()
+    fully_closed = asyncio.Event()
     connection.close()
-    connection.on_fully_closed(gone.set)
+    connection.on_fully_closed(fully_closed.set)
     assert connection.closed
-    assert not gone.is_set()
-    await asyncio.wait_for(gone.wait(), 5)
+    assert not fully_closed.is_set()
+    await asyncio.wait_for(fully_closed.wait(), 5)
 
 
-async def test_interim_answer_is_passed_over() -> None:
+async def test_interim_answer_is_skipped() -> None:
     interim = b"HTTP/1.1 103 Early Hints\r\nlink: x\r\n\r\n"
-    address = await Server([interim + WHOLE]).start()
+    address = await Server([interim + COMPLETE_ANSWER]).start()
     connection = await ClientPool().acquire(address, 1.0)
     assert await exchange(connection) == b"ok"
     assert connection.reusable
 
 
-async def test_answer_behind_the_whole_one_adds_nothing_to_its_head() -> None:
+async def test_surplus_answer_adds_nothing_to_the_head_of_the_first() -> None:
     second = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\nx-other: 1\r\n\r\nno"
-    server = Server([WHOLE + second])
+    server = Server([COMPLETE_ANSWER + second])
     connection = await ClientPool().open(await server.start(), 1.0)
     head = await connection.send(REQUEST)
     assert head.headers == [(b"content-length", b"2")]
--- a/tests/adapter/http/test_client_pool.py
+++ b/tests/adapter/http/test_client_pool.py
@@ -13,7 +13,7 @@
 
 
 async def test_stall_of_the_loop_does_not_make_a_peer_unreachable() -> None:
-    """Guards against 2012 for a connection that was open while this process stood still."""
+    """Guards against result code 2012 for a connection that opened during a stall of the loop."""
     server = await asyncio.start_server(lambda *_: None, "127.0.0.1", 0)
     pool = ClientPool()
     asyncio.get_running_loop().call_soon(
@@ -26,15 +26,15 @@
 
 
 async def test_address_that_does_not_answer_is_unreachable() -> None:
-    with socket.socket() as full:
-        full.bind(("127.0.0.1", 0))
-        full.listen(0)
-        address = full.getsockname()[:2]
-        waiting = [socket.socket() for _ in range(3)]
-        for one in waiting:
-            one.setblocking(False)
-            one.connect_ex(address)
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        listener.listen(0)
+        address = listener.getsockname()[:2]
+        clients = [socket.socket() for _ in range(3)]
+        for client in clients:
+            client.setblocking(False)
+            client.connect_ex(address)
         with pytest.raises(UnreachableError):
             await ClientPool().open(address, TIMEOUT_SECONDS)
-        for one in waiting:
-            one.close()
+        for client in clients:
+            client.close()
--- a/tests/adapter/test_http_log.py
+++ b/tests/adapter/test_http_log.py
@@ -18,7 +18,7 @@
 
 
 class Service:
-    """A log service whose answers can be lost."""
+    """A log service that can reject appends, lose answers or send malformed ones."""
 
     def __init__(self) -> None:
         self.appends = 0
@@ -53,31 +53,33 @@
 async def test_append_on_a_reused_connection_that_drops_is_not_sent_again(
     service: tuple[Service, HttpLog],
 ) -> None:
-    state, log = service
+    fake_service, log = service
     assert await log.append("s", b"1") == 0
-    state.mode = "lose"
+    fake_service.mode = "lose"
     with pytest.raises(AppendUnknownError):
         await log.append("s", b"2")
-    assert state.appends == 2
+    assert fake_service.appends == 2
 
 
-async def test_garbled_answer_is_unknown(service: tuple[Service, HttpLog]) -> None:
-    state, log = service
-    state.mode = "garble"
+async def test_malformed_append_answer_leaves_the_outcome_unknown(
+    service: tuple[Service, HttpLog],
+) -> None:
+    fake_service, log = service
+    fake_service.mode = "garble"
     with pytest.raises(AppendUnknownError):
         await log.append("s", b"1")
 
 
-async def test_refused_append_is_known_not_to_be_taken(service: tuple[Service, HttpLog]) -> None:
-    state, log = service
-    state.mode = "refuse"
+async def test_rejected_append_is_known_to_have_failed(service: tuple[Service, HttpLog]) -> None:
+    fake_service, log = service
+    fake_service.mode = "refuse"
     with pytest.raises(LogUnavailableError):
         await log.append("s", b"1")
     with pytest.raises(LogUnavailableError):
         await log.read("s", 0)
 
 
-async def test_log_that_cannot_be_connected_to_took_nothing() -> None:
+async def test_append_to_an_unreachable_log_is_known_to_have_failed() -> None:
     log = HttpLog(("127.0.0.1", 1))
     with pytest.raises(LogUnavailableError):
         await log.append("s", b"1")
@@ -85,10 +87,10 @@
 
 
 async def test_cancelled_append_leaves_the_log_usable(service: tuple[Service, HttpLog]) -> None:
-    state, log = service
+    fake_service, log = service
     task = asyncio.ensure_future(log.append("s", b"1"))
     await asyncio.sleep(0)
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
-    state.appends = 7
+    fake_service.appends = 7
     assert await log.append("s", b"2") >= 7
--- a/tests/adapter/test_json_event_log.py
+++ b/tests/adapter/test_json_event_log.py
@@ -24,7 +24,7 @@
     os.close(writer)
 
 
-def taken(reader: int) -> bytes:
+def read_available(reader: int) -> bytes:
     os.set_blocking(reader, False)
     data = b""
     try:
@@ -39,10 +39,10 @@
     return [json.loads(line) for line in data.splitlines()]
 
 
-def test_line_bears_time_node_name_and_fields(pipe: tuple[int, int], clock: FakeClock) -> None:
+def test_line_contains_time_node_name_and_fields(pipe: tuple[int, int], clock: FakeClock) -> None:
     log = JsonEventLog(PipeWriter(pipe[1]), "n-1", clock.now, 10)
     log.event("store_lost", reason="silent")
-    (line,) = lines(taken(pipe[0]))
+    (line,) = lines(read_available(pipe[0]))
     assert (line["node"], line["event"], line["reason"]) == ("n-1", "store_lost", "silent")
     assert isinstance(line["time"], float)
 
@@ -56,16 +56,20 @@
     clock.advance(1.0)
     log.decision("answered", request="5")
     log.flush()
-    found = lines(taken(pipe[0]))
-    assert [line.get("request") for line in found if line["event"] == "answered"] == ["0", "1", "5"]
-    assert [line["over_rate"] for line in found if line["event"] == "lines_left_out"] == [3]
+    logged = lines(read_available(pipe[0]))
+    assert [line.get("request") for line in logged if line["event"] == "answered"] == [
+        "0",
+        "1",
+        "5",
+    ]
+    assert [line["over_rate"] for line in logged if line["event"] == "lines_left_out"] == [3]
 
 
 def test_events_are_never_left_out_for_the_rate(pipe: tuple[int, int], clock: FakeClock) -> None:
     log = JsonEventLog(PipeWriter(pipe[1]), "n-1", clock.now, 0)
     for _ in range(5):
         log.event("peer_added", peer="x")
-    assert len(lines(taken(pipe[0]))) == 5
+    assert len(lines(read_available(pipe[0]))) == 5
 
 
 def test_reader_that_stops_reading_does_not_block_and_its_lines_are_counted(
@@ -79,13 +83,13 @@
     assert writer.dropped > 0
     dropped = writer.dropped
     data = b""
-    while chunk := taken(pipe[0]):
+    while chunk := read_available(pipe[0]):
         data += chunk
         log.flush()
     clock.advance(1.0)
     log.decision("answered", request="last")
     log.flush()
-    data += taken(pipe[0])
+    data += read_available(pipe[0])
     assert [line["unread"] for line in lines(data) if line["event"] == "lines_left_out"] == [
         dropped
     ]
--- a/tests/adapter/test_loop_errors.py
+++ b/tests/adapter/test_loop_errors.py
@@ -14,7 +14,7 @@
     from hoisthook.adapter.http.server_exchange import ServerExchange
 
 
-async def test_error_of_a_handler_is_a_line_of_the_log_and_its_caller_sees_no_answer() -> None:
+async def test_handler_error_is_logged_and_its_caller_gets_no_answer() -> None:
     log = ListLog()
     log_loop_errors(asyncio.get_running_loop(), log)
 
@@ -37,7 +37,7 @@
     assert any(str(frame).startswith("fail:") for frame in line["frames"])  # type: ignore[attr-defined]
 
 
-async def test_error_without_an_exception_is_told_too() -> None:
+async def test_error_without_an_exception_is_logged() -> None:
     log = ListLog()
     loop = asyncio.get_running_loop()
     log_loop_errors(loop, log)
--- a/tests/adapter/test_loop_stalls.py
+++ b/tests/adapter/test_loop_stalls.py
@@ -13,7 +13,7 @@
     import pytest
 
 
-async def test_loop_that_stands_still_is_told_of() -> None:
+async def test_stalled_loop_is_logged() -> None:
     log = ListLog()
     stalls = LoopStalls(log)
     stalls.start()
@@ -23,7 +23,7 @@
     stalls.close()
 
 
-async def test_closed_watch_tells_nothing_more(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_closed_monitor_logs_nothing_more(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(loop_stalls, "STALL_SECONDS", 0.0)
     monkeypatch.setattr(loop_stalls, "TICK_SECONDS", 0.0)
     log = ListLog()
@@ -31,6 +31,6 @@
     stalls.start()
     await until(lambda: bool(log.named("loop_stalled")))
     stalls.close()
-    told = len(log.lines)
+    logged_count = len(log.lines)
     await asyncio.sleep(0)
-    assert len(log.lines) == told
+    assert len(log.lines) == logged_count
--- a/tests/adapter/test_metered_log.py
+++ b/tests/adapter/test_metered_log.py
@@ -37,7 +37,7 @@
 DOCS = ROOT / "docs"
 
 
-def metered() -> tuple[MeteredLog, ListLog]:
+def metered_log_and_lines() -> tuple[MeteredLog, ListLog]:
     lines = ListLog()
     log = MeteredLog(lines)
     log.event("store_lost", reason="silent")
@@ -49,8 +49,8 @@
     return log, lines
 
 
-def test_every_line_is_handed_on_and_counted() -> None:
-    log, lines = metered()
+def test_every_line_is_forwarded_and_counted() -> None:
+    log, lines = metered_log_and_lines()
     assert len(lines.lines) == 6
     text = log.text(STATUS).decode()
     assert 'hoisthook_events_total{event="store_lost"} 1.0' in text
@@ -64,8 +64,8 @@
     assert "hoisthook_ready 1.0" in text
 
 
-def test_counts_go_on_after_the_metrics_were_asked_for() -> None:
-    log, _ = metered()
+def test_counts_continue_after_the_metrics_were_requested() -> None:
+    log, _ = metered_log_and_lines()
     log.text(STATUS)
     log.decision("answered", request="4", code=0, took_ms=30.0)
     text = log.text(STATUS).decode()
@@ -74,7 +74,7 @@
     assert 'hoisthook_events_total{event="store_lost"} 1.0' in text
 
 
-def test_kept_times_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_buffered_times_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(metered_log, "MAX_BUFFERED_TIMES", 10)
     log = MeteredLog(ListLog())
     for number in range(25):
@@ -86,19 +86,19 @@
 def test_start_of_a_node_does_not_load_the_metrics_library() -> None:
     program = "import sys, hoisthook_platform.main; print('prometheus_client' in sys.modules)"
     paths = os.pathsep.join(str(ROOT / name) for name in ("src", "platform"))
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", program],
         env={**os.environ, "PYTHONPATH": paths},
         capture_output=True,
         text=True,
         check=True,
     )
-    assert done.stdout.strip() == "False"
+    assert completed.stdout.strip() == "False"
 
 
 def test_metrics_page_names_every_metric_and_no_other() -> None:
-    log, _ = metered()
-    shown = set(re.findall(r"^# TYPE (\w+) ", log.text(STATUS).decode(), re.MULTILINE))
-    shown = {name for name in shown if not name.endswith("_created")}
-    written = set(re.findall(r"^\| `(\w+)` \|", (DOCS / "METRICS.md").read_text(), re.MULTILINE))
-    assert written == shown
+    log, _ = metered_log_and_lines()
+    exported = set(re.findall(r"^# TYPE (\w+) ", log.text(STATUS).decode(), re.MULTILINE))
+    exported = {name for name in exported if not name.endswith("_created")}
+    documented = set(re.findall(r"^\| `(\w+)` \|", (DOCS / "METRICS.md").read_text(), re.MULTILINE))
+    assert documented == exported
--- a/tests/platform/test_foreign_records.py
+++ b/tests/platform/test_foreign_records.py
@@ -1,4 +1,4 @@
-"""Entries and announcements of other writers name no backend server; the others hold."""
+"""Malformed records and announcements of other writers are skipped and affect no valid ones."""
 
 from __future__ import annotations
 
@@ -46,10 +46,10 @@
 
 @pytest_asyncio.fixture
 async def system() -> AsyncIterator[MeshSystem]:
-    running = MeshSystem()
-    await running.start()
-    yield running
-    await running.close()
+    mesh = MeshSystem()
+    await mesh.start()
+    yield mesh
+    await mesh.close()
 
 
 def foreign(field: str, value: object) -> bytes:
@@ -79,16 +79,16 @@
     machine = system.machines[0]
     pool = ClientPool()
     connection = await pool.acquire(machine.endpoints.announcements_address, 1.0)
-    answered = await exchange_buffered(
+    result = await exchange_buffered(
         connection, b"POST", b"/-/Instances." + path, [(b"host", b"n")], body, timeout=2.0
     )
-    assert isinstance(answered, tuple)
+    assert isinstance(result, tuple)
     pool.close()
-    return answered[0].status
+    return result[0].status
 
 
 @pytest.mark.parametrize("body", FOREIGN_HEARTBEATS)
-async def test_heartbeat_of_another_writer_names_no_backend_server(
+async def test_invalid_heartbeat_does_not_change_the_observed_backend(
     system: MeshSystem, body: bytes
 ) -> None:
     machine = await system.add("shop")
@@ -100,7 +100,7 @@
     assert len(str(line["reason"])) <= 200
 
 
-async def test_farewell_of_another_writer_is_passed_over(system: MeshSystem) -> None:
+async def test_invalid_deregistration_is_rejected(system: MeshSystem) -> None:
     machine = await system.add("shop")
     assert await announce(system, b'{"born": "now"}', b"Deregister/i-1") == 400
     assert machine.node.link.observed_backend.takes_work
@@ -118,7 +118,7 @@
         ),
     )
 )
-def test_any_bytes_are_read_or_refused(body: bytes) -> None:
+def test_any_bytes_are_decoded_or_rejected(body: bytes) -> None:
     from hoisthook_platform.local_endpoints import _Heartbeat
 
     try:
@@ -129,8 +129,8 @@
     assert isinstance(read.sequence, int)
 
 
-class OneAnswer:
-    """A store that answers every call with the same bytes."""
+class FixedAnswerStore:
+    """A store that answers every call with the same body."""
 
     def __init__(self, body: bytes) -> None:
         self._body = body
@@ -144,7 +144,7 @@
         exchange.respond(200, [], self._body)
 
 
-async def test_records_that_cannot_be_read_leave_the_others_of_a_page() -> None:
+async def test_unreadable_records_do_not_affect_the_others_of_a_page() -> None:
     good = {"key": "a", "value": base64.b64encode(b"1").decode(), "offset": 3}
     items = [
         good,
@@ -156,39 +156,39 @@
     ]
     body = msgspec.json.encode({"items": items, "hasMore": False, "end": 9})
     log = ListLog()
-    page = await (await OneAnswer(body).store(log)).newest(TOPIC)
+    page = await (await FixedAnswerStore(body).store(log)).newest(TOPIC)
     assert [record.key for record in page.records] == ["a", "c"]
     (line,) = log.named("records_unreadable")
     assert (line["code"], line["count"]) == (ResultCode.RECORD_UNREADABLE.number, 4)
 
 
-async def test_record_without_a_key_leaves_those_around_it() -> None:
+async def test_record_without_a_key_does_not_affect_its_neighbours() -> None:
     contents = [join_record("a", b"1"), b"", b"\x09short", b"\x02\xff\xfe!", join_record("b", b"")]
     body = struct.pack(">QQ", 5, 0)
     body += b"".join(struct.pack(">I", len(content)) + content for content in contents)
-    page = await (await OneAnswer(body).store(ListLog())).changes(TOPIC, 0, 0.0)
+    page = await (await FixedAnswerStore(body).store(ListLog())).changes(TOPIC, 0, 0.0)
     assert page is not None
     assert [(record.key, record.offset) for record in page.records] == [("a", 0), ("b", 4)]
     assert page.end == 5
 
 
-async def test_list_in_parts_is_read_on_from_where_its_first_part_ended() -> None:
-    """What is written to a key of the first part while the second is read must not be missed."""
-    ends = iter([10, 12])
+async def test_reading_continues_from_the_end_offset_of_the_first_page() -> None:
+    """A record written to the first page while the second is read must not be missed."""
+    end_offsets = iter([10, 12])
 
-    class Parts(OneAnswer):
+    class TwoPages(FixedAnswerStore):
         async def _serve(self, exchange: ServerExchange) -> None:
-            first = b"after=" not in exchange.head.target
-            item = {"key": "a" if first else "b", "value": "MQ==", "offset": 1}
-            told = {"items": [item], "hasMore": first, "end": next(ends)}
-            exchange.respond(200, [], msgspec.json.encode(told))
+            is_first_page = b"after=" not in exchange.head.target
+            item = {"key": "a" if is_first_page else "b", "value": "MQ==", "offset": 1}
+            page_content = {"items": [item], "hasMore": is_first_page, "end": next(end_offsets)}
+            exchange.respond(200, [], msgspec.json.encode(page_content))
 
-    page = await (await Parts(b"").store(ListLog())).newest(TOPIC)
+    page = await (await TwoPages(b"").store(ListLog())).newest(TOPIC)
     assert [record.key for record in page.records] == ["a", "b"]
     assert page.end == 10
 
 
-async def test_foreign_record_among_the_operators_leaves_the_configuration(
+async def test_foreign_record_in_the_topic_does_not_affect_the_configuration(
     system: MeshSystem,
 ) -> None:
     await system.add("shop")
--- a/tests/platform/test_team_headers.py
+++ b/tests/platform/test_team_headers.py
@@ -1,4 +1,4 @@
-"""Whatever credentials a hostile caller sends, it passes for nobody else and names nobody."""
+"""No credentials of a hostile caller let it act as another team or forge a team name."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     [b"Bearer", b"bearer", b" ", b"  ", b"\t", b",", b";", b"=", KEY, b"ferry-key", b"Basic", b""]
 )
 VALUES = st.lists(PIECES, max_size=6).map(b"".join) | st.binary(max_size=20)
-# Names as the parser hands them over: in lower case.
+# Header names in lower case, as the parser passes them on.
 NAMES = st.sampled_from(
     [b"authorization", b"x-tenant-name", b"proxy-authorization", b"x-own", b"connection"]
 )
@@ -28,7 +28,7 @@
 
 
 @given(SENT)
-def test_a_team_is_named_by_one_whole_key_alone(sent: list[Header]) -> None:
+def test_team_is_identified_by_exactly_one_complete_key(sent: list[Header]) -> None:
     request = PlatformCallerWire().decode(RequestHead(b"GET", b"/", BASE + sent))
     assert isinstance(request, CallerRequest)
     credentials = [value for name, value in sent if name == b"authorization"]
@@ -41,7 +41,7 @@
 
 
 @given(SENT)
-def test_neither_key_nor_forged_name_is_among_what_is_handed_on(sent: list[Header]) -> None:
+def test_keys_and_forged_team_names_are_not_forwarded(sent: list[Header]) -> None:
     request = PlatformCallerWire().decode(RequestHead(b"GET", b"/", BASE + sent))
     assert isinstance(request, CallerRequest)
     names = {name for name, _ in request.headers}
--- a/tests/platform/test_wires.py
+++ b/tests/platform/test_wires.py
@@ -29,7 +29,7 @@
     return PlatformCallerWire().decode(RequestHead(b"GET", b"/a/b?c=/d", list(headers)))
 
 
-def test_callers_head_is_read_once_into_named_fields() -> None:
+def test_request_head_is_decoded_into_fields() -> None:
     request = decode(
         (b"host", b"h"), (b"x-request-id", b"1"), (b"x-deadline-ms", b"250"), (b"x-own", b"kept")
     )
@@ -39,7 +39,7 @@
     assert request.headers == [(b"host", b"h"), (b"x-request-id", b"1"), (b"x-own", b"kept")]
 
 
-def test_headers_of_one_connection_and_of_the_system_are_not_handed_on() -> None:
+def test_hop_by_hop_and_system_headers_are_not_forwarded() -> None:
     request = decode(
         (b"host", b"h"),
         (b"x-request-id", b"1"),
@@ -68,14 +68,14 @@
 
 
 @pytest.mark.parametrize("code", list(ResultCode))
-def test_only_a_code_that_says_not_run_becomes_a_promise(code: ResultCode) -> None:
+def test_not_run_statuses_are_sent_only_for_codes_that_mean_not_run(code: ResultCode) -> None:
     refusal = PlatformCallerWire().refusal(code, 0.5)
     if refusal.status in NOT_RUN_STATUSES:
         assert code.ran is Ran.NOT_RUN
         assert (b"retry-after", b"0.500") in refusal.headers
 
 
-def kind(status: int, *headers: Header) -> AnswerKind:
+def answer_kind(status: int, *headers: Header) -> AnswerKind:
     return PlatformBackendWire().read(AnswerHead(status, list(headers))).kind
 
 
@@ -96,10 +96,10 @@
         (408, [], AnswerKind.SPOILED),
     ],
 )
-def test_answers_say_no_more_than_they_prove(
+def test_answer_kind_claims_no_more_than_the_headers_prove(
     status: int, headers: list[Header], expected: AnswerKind
 ) -> None:
-    assert kind(status, *headers) is expected
+    assert answer_kind(status, *headers) is expected
 
 
 @pytest.mark.parametrize(
@@ -111,10 +111,10 @@
         (b"a,b,c", None),
     ],
 )
-def test_load_is_read_or_left_out(value: bytes, expected: tuple[object, ...] | None) -> None:
+def test_load_is_decoded_or_omitted(value: bytes, expected: tuple[object, ...] | None) -> None:
     load = PlatformBackendWire().read(AnswerHead(200, [SIGNED, (b"x-server-load", value)])).load
-    found = None if load is None else (load.running, load.waiting, load.slots, load.slowdown)
-    assert found == expected
+    decoded = None if load is None else (load.running, load.waiting, load.slots, load.slowdown)
+    assert decoded == expected
 
 
 def test_head_for_the_backend_server_names_incarnation_caller_and_time_left() -> None:
@@ -134,20 +134,20 @@
     assert not wire.answers(AnswerHead(200, [SIGNED]), RequestId("1"))
 
 
-def test_late_answer_to_a_request_is_not_taken_for_the_health() -> None:
+def test_late_answer_to_a_request_is_not_a_health_answer() -> None:
     wire = PlatformBackendWire()
     assert wire.answers_health(AnswerHead(200, [(b"x-instance-id", b"i")]))
     assert not wire.answers_health(AnswerHead(200, [(b"x-request-id", b"1")]))
 
 
 @given(st.binary(max_size=80))
-def test_any_bytes_as_hop_or_load_header_are_read_or_refused(value: bytes) -> None:
+def test_any_bytes_as_hop_or_load_header_are_decoded_or_rejected(value: bytes) -> None:
     HopHeader.decode(value)
     NodeLoad.decode(value)
 
 
 @given(st.floats(0, 100), st.floats(-100, 100), st.integers(0, 9), st.integers(-1, 10**9))
-def test_hop_header_comes_back_as_it_was_sent(
+def test_hop_header_survives_encoding_and_decoding(
     time_left: float, target_left: float, priority: int, version: int
 ) -> None:
     sent = HopHeader.decode(
