--- a/src/hoisthook/adapter/http/asgi_bridge.py
+++ b/src/hoisthook/adapter/http/asgi_bridge.py
@@ -29,7 +29,7 @@
     except BrokenExchangeError:
         exchange.abort()
         return
-    answer = _Answer(exchange)
+    answer = _BufferedAnswer(exchange)
     delivered = False
 
     async def receive() -> dict[str, Any]:
@@ -60,7 +60,7 @@
     }
 
 
-class _Answer:
+class _BufferedAnswer:
     """Buffers an application's answer and sends it when it is complete."""
 
     def __init__(self, exchange: ServerExchange) -> None:
--- a/src/hoisthook/adapter/http/call_server.py
+++ b/src/hoisthook/adapter/http/call_server.py
@@ -89,7 +89,7 @@
             raise HoisthookError(ResultCode.PORT_UNAVAILABLE, detail) from error
 
     def stop_listening(self) -> None:
-        """Accept no new connections; those that are open close after their current exchange."""
+        """Accept no new connections; those that are open close after their next answer."""
         self.stopping = True
         if self._server is not None:
             self._server.close()
--- a/src/hoisthook/adapter/http/client_connection.py
+++ b/src/hoisthook/adapter/http/client_connection.py
@@ -19,7 +19,7 @@
     from collections.abc import Callable
 
 MAX_HEAD_BYTES = 64 * 1024
-CANCEL_SECONDS = 0.05
+CANCEL_TIMEOUT_SECONDS = 0.05
 
 
 class ClientConnection(FlowControl):
@@ -138,8 +138,8 @@
         """Close the connection; this cancels an unfinished exchange.
 
         Half-closing the stream signals the cancellation to the other side, which acknowledges it by
-        closing its own side, see `on_fully_closed`. After `CANCEL_SECONDS` without that, the
-        connection is aborted.
+        closing its own side, see `on_fully_closed`. If it does not do so within
+        `CANCEL_TIMEOUT_SECONDS`, the connection is aborted.
         """
         if self.closed:
             return
@@ -149,7 +149,7 @@
             else:
                 self._transport.write_eof()
                 loop = asyncio.get_running_loop()
-                self._abort_timer = loop.call_later(CANCEL_SECONDS, self._transport.abort)
+                self._abort_timer = loop.call_later(CANCEL_TIMEOUT_SECONDS, self._transport.abort)
         self._mark_closed("connection closed by this side")
 
     def on_fully_closed(self, callback: Callable[[], None]) -> None:
--- a/src/hoisthook/adapter/http/client_pool.py
+++ b/src/hoisthook/adapter/http/client_pool.py
@@ -12,7 +12,7 @@
     from hoisthook.identity import Address
 
 IDLE_LIMIT_SECONDS = 20.0
-IDLE_PER_ADDRESS = 32
+MAX_IDLE_PER_ADDRESS = 32
 
 
 class ClientPool:
@@ -96,7 +96,7 @@
             connection.close()
             return
         idle = self._idle_by_address.setdefault(address, [])
-        if len(idle) >= IDLE_PER_ADDRESS:
+        if len(idle) >= MAX_IDLE_PER_ADDRESS:
             connection.close()
             return
         connection.idle_since = asyncio.get_running_loop().time()
--- a/src/hoisthook/adapter/http_log.py
+++ b/src/hoisthook/adapter/http_log.py
@@ -64,7 +64,7 @@
         Raises
         ------
         LogUnavailableError
-            If the log rejected the record or could not be connected to.
+            If the log rejected the record or refused the connection, so that it was not appended.
         AppendUnknownError
             If no complete answer was received.
         """
--- a/src/hoisthook/adapter/logged_store.py
+++ b/src/hoisthook/adapter/logged_store.py
@@ -20,7 +20,7 @@
     Result = TypeVar("Result")
 
 
-# An event lists at most this many unreadable records, each name truncated.
+# An event lists at most this many unreadable records, with names truncated to the second limit.
 MAX_LOGGED_RECORDS = 5
 MAX_LOGGED_NAME = 80
 
@@ -70,11 +70,11 @@
                 records=[name[:MAX_LOGGED_NAME] for name in page.unreadable[:MAX_LOGGED_RECORDS]],
             )
 
-    async def _logged(self, call: str, topic: str, result: Awaitable[Result]) -> Result:
+    async def _logged(self, call: str, topic: str, pending: Awaitable[Result]) -> Result:
         started = self._clock.now()
         reason = ""
         try:
-            return await result
+            return await pending
         except StoreUnavailableError as error:
             reason = error.detail
             raise
--- a/src/hoisthook/port/backend_wire.py
+++ b/src/hoisthook/port/backend_wire.py
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerReading:
+class DecodedAnswerHead:
     """Decoded head of an answer.
 
     Attributes
@@ -86,7 +86,7 @@
     instance : InstanceId or None
         The only incarnation that may execute the request; None if none is known.
     caller_service : ServiceName
-        The service whose local node was the ingress of the request.
+        Service of the ingress node of the request.
     time_left : float
         Seconds until the deadline of the request.
     team : TeamName or None
@@ -112,5 +112,5 @@
     def answers_health(self, head: AnswerHead) -> bool:
         """Return whether an answer can be that of a health check, not a late one to a request."""
 
-    def read(self, head: AnswerHead) -> AnswerReading:
+    def read(self, head: AnswerHead) -> DecodedAnswerHead:
         """Decode the head of an answer."""
