--- a/src/hoisthook/adapter/http/server_exchange.py
+++ b/src/hoisthook/adapter/http/server_exchange.py
@@ -26,7 +26,7 @@
     def piece_bytes(self) -> int:
         """Return the size of a piece, in bytes."""
 
-    def spreads(self, size: int) -> bool:
+    def needs_pacing(self, size: int) -> bool:
         """Return whether an answer of ``size`` bytes is sent in pieces."""
 
     def sent(self, size: int, now: float) -> None:
@@ -130,7 +130,7 @@
     ) -> None:
         """Send a complete answer, in pieces if the pacer requires it."""
         now = asyncio.get_running_loop().time()
-        if not pacer.spreads(len(body)):
+        if not pacer.needs_pacing(len(body)):
             pacer.sent(len(body), now)
             self.respond(status, headers, body)
             return
--- a/src/hoisthook/experiment/modelled_hop.py
+++ b/src/hoisthook/experiment/modelled_hop.py
@@ -64,8 +64,8 @@
     ) -> None:
         now = self._clock.now()
         view.reported(node.load(), now)
-        if node.repeats.owes_for(call):
-            self._node.repeats.called_owes(call)
+        if node.repeats.is_over_budget_for(call):
+            self._node.repeats.callee_over_budget(call)
         if isinstance(outcome, Refused) and outcome.code is ResultCode.UNREACHABLE:
             view.close_until(now + outcome.retry_after)
         elif isinstance(outcome, Refused) and outcome.code is ResultCode.RETRY_BUDGET_SPENT:
@@ -90,7 +90,7 @@
         self, view: PeerView, call: RoutedCall, admission: Admission, node: ModelledNode
     ) -> Refused | PendingOutcome:
         """Bear the silence of a node, which still sends on what is whole when it wakes."""
-        held_back = call.held_back or view.may_be_silent(self._clock.now())
+        held_back = call.held_back or view.may_be_unresponsive(self._clock.now())
         sent = dataclasses.replace(call)
         await asyncio.sleep(ADMISSION_SECONDS)
         view.silent(self._clock.now())
