--- a/tests/mesh/test_leaving_ingress.py
+++ b/tests/mesh/test_leaving_ingress.py
@@ -22,12 +22,12 @@
     system: MeshSystem, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The message that a request is admitted is delayed, as by other traffic on a slow link."""
-    go_ahead = ServerExchange.go_ahead
+    send_continue = ServerExchange.send_continue
 
     def delayed_go_ahead(exchange: ServerExchange) -> None:
-        asyncio.get_running_loop().call_later(SILENT_SECONDS, go_ahead, exchange)
+        asyncio.get_running_loop().call_later(SILENT_SECONDS, send_continue, exchange)
 
-    monkeypatch.setattr(ServerExchange, "go_ahead", delayed_go_ahead)
+    monkeypatch.setattr(ServerExchange, "send_continue", delayed_go_ahead)
     ingress = await system.add("front")
     server = await system.add("shop")
     system.introduce_all()
