--- a/src/hoisthook/console/__init__.py
+++ b/src/hoisthook/console/__init__.py
@@ -1,3 +1,3 @@
-"""The command line."""
+"""The command-line interface."""
 
 from __future__ import annotations
--- a/src/hoisthook/console/application.py
+++ b/src/hoisthook/console/application.py
@@ -1,4 +1,4 @@
-"""The command line: one parser, one module a command."""
+"""The command-line interface: an argument parser with one subcommand per module."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """Return the parser of all commands."""
+    """Return the argument parser with all subcommands."""
     parser = argparse.ArgumentParser(prog="hoisthook", description="A load balancer.")
     subparsers = parser.add_subparsers(dest="command", required=True)
     for command in COMMANDS:
@@ -70,12 +70,12 @@
     Parameters
     ----------
     arguments : sequence of str
-        Without the program's name.
+        Command-line arguments without the program name.
 
     Returns
     -------
     int
-        0 for success, 2 for a numbered error, otherwise as the command says.
+        0 for success, 2 for an error with a result code, otherwise the status of the command.
     """
     parsed = make_parser().parse_args(arguments)
     try:
--- a/src/hoisthook/console/command.py
+++ b/src/hoisthook/console/command.py
@@ -1,4 +1,4 @@
-"""What a command is."""
+"""Interface of the subcommands."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 
 class Command(Protocol):
-    """One subcommand."""
+    """A subcommand of ``hoisthook``."""
 
     @property
     def name(self) -> str:
-        """Return the word on the command line."""
+        """Return the name of the subcommand on the command line."""
 
     @property
     def description(self) -> str:
-        """Return one line of help."""
+        """Return the one-line help text."""
 
     def configure(self, parser: argparse.ArgumentParser) -> None:
         """Add the command's arguments."""
 
     def handle(self, arguments: argparse.Namespace) -> int:
-        """Run it and return the exit status."""
+        """Run the command and return its exit status."""
--- a/src/hoisthook/console/commands/check.py
+++ b/src/hoisthook/console/commands/check.py
@@ -1,4 +1,4 @@
-"""Checks a settings file without starting anything."""
+"""Validates a settings file without starting a node."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
     """``hoisthook check FILE``."""
 
     name = "check"
-    description = "check a settings file"
+    description = "validate a settings file"
 
     def configure(self, parser: argparse.ArgumentParser) -> None:
         """Add the command's arguments."""
-        parser.add_argument("file", type=Path, help="settings in TOML")
+        parser.add_argument("file", type=Path, help="settings file in TOML")
         parser.add_argument(
-            "--platform", action="store_true", help="settings of a node on the platform"
+            "--platform", action="store_true", help="validate as settings of a node on the platform"
         )
 
     def handle(self, arguments: argparse.Namespace) -> int:
-        """Run it and return the exit status."""
+        """Run the command and return its exit status."""
         if arguments.platform:
             node = load_mesh_settings(arguments.file).node.id
         else:
--- a/src/hoisthook/console/commands/codes.py
+++ b/src/hoisthook/console/commands/codes.py
@@ -13,14 +13,14 @@
 
 
 def table_lines() -> Iterator[str]:
-    """Return the lines of the table in Markdown."""
+    """Yield the lines of the Markdown table of result codes, in order of number."""
     yield "| number | name | status | ran | meaning | what to do |"
     yield "|---|---|---|---|---|---|"
     for code in sorted(ResultCode, key=lambda code: code.number):
-        entry = code.value
-        status = str(entry.http_status) if entry.http_status else "-"
-        cells = [str(entry.number), code.name, status, entry.ran.value]
-        yield "| " + " | ".join([*cells, entry.meaning, entry.action]) + " |"
+        definition = code.value
+        status = str(definition.http_status) if definition.http_status else "-"
+        cells = [str(definition.number), code.name, status, definition.ran.value]
+        yield "| " + " | ".join([*cells, definition.meaning, definition.action]) + " |"
 
 
 class CodesCommand:
@@ -33,6 +33,6 @@
         """Add the command's arguments."""
 
     def handle(self, arguments: argparse.Namespace) -> int:
-        """Run it and return the exit status."""
+        """Run the command and return its exit status."""
         sys.stdout.write("\n".join(table_lines()) + "\n")
         return 0
--- a/src/hoisthook/console/commands/delete_service.py
+++ b/src/hoisthook/console/commands/delete_service.py
@@ -1,4 +1,4 @@
-"""Removes a service."""
+"""Deletes a service."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     """``hoisthook delete-service``."""
 
     name = "delete-service"
-    description = "remove a service"
+    description = "delete a service"
 
     def configure(self, parser: argparse.ArgumentParser) -> None:
         """Add the command's arguments."""
@@ -26,6 +26,6 @@
         parser.add_argument("name")
 
     def handle(self, arguments: argparse.Namespace) -> int:
-        """Run it and return the exit status."""
+        """Run the command and return its exit status."""
         request = pb.DeleteServiceRequest(header=change_header(arguments), name=arguments.name)
         return print_reply(call(arguments.node, lambda stub: stub.DeleteService(request)))
--- a/src/hoisthook/console/commands/drain.py
+++ b/src/hoisthook/console/commands/drain.py
@@ -1,4 +1,4 @@
-"""Lets a backend server take no new work."""
+"""Drains a backend server: it gets no new requests."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
     """``hoisthook drain``."""
 
     name = "drain"
-    description = "let a backend server take no new work"
+    description = "drain a backend server: send it no new requests"
 
     def configure(self, parser: argparse.ArgumentParser) -> None:
         """Add the command's arguments."""
         add_drain_arguments(parser)
 
     def handle(self, arguments: argparse.Namespace) -> int:
-        """Run it and return the exit status."""
+        """Run the command and return its exit status."""
         return set_drain(arguments, drained=True)
--- a/src/hoisthook/console/commands/evacuate.py
+++ b/src/hoisthook/console/commands/evacuate.py
@@ -1,4 +1,4 @@
-"""Evacuates a data centre."""
+"""Evacuates a data centre: its backend servers get no new requests."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
     """``hoisthook evacuate``."""
 
     name = "evacuate"
-    description = "let the backend servers of a data centre take no new work"
+    description = "evacuate a data centre: send its backend servers no new requests"
 
     def configure(self, parser: argparse.ArgumentParser) -> None:
         """Add the command's arguments."""
         add_evacuation_arguments(parser)
 
     def handle(self, arguments: argparse.Namespace) -> int:
-        """Run it and return the exit status."""
+        """Run the command and return its exit status."""
         return set_evacuation(arguments, evacuated=True)
--- a/src/hoisthook/console/commands/experiment.py
+++ b/src/hoisthook/console/commands/experiment.py
@@ -1,4 +1,4 @@
-"""Plays load patterns on the model and prints what became of their requests."""
+"""Simulates load patterns and prints a table of their results."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     from hoisthook.experiment.load_pattern import LoadResults
 
 DEFAULT_SEEDS = 3
-MILLIS = 1000.0
+MS_PER_SECOND = 1000.0
 HEADINGS = (
     *("pattern", "seed", "requests", "share", "worst", "in time", "late", "refused", "failed"),
     *("reads", "p50 ms", "p99 ms"),
@@ -26,15 +26,17 @@
     """``hoisthook experiment [--seeds N] FILE ...``."""
 
     name = "experiment"
-    description = "play load patterns on a model that runs the real decisions"
+    description = "simulate load patterns with the routing and admission code of a node"
 
     def configure(self, parser: argparse.ArgumentParser) -> None:
         """Add the command's arguments."""
-        parser.add_argument("files", nargs="+", type=Path, help="load patterns in TOML")
-        parser.add_argument("--seeds", type=int, default=DEFAULT_SEEDS, help="plays a pattern")
+        parser.add_argument("files", nargs="+", type=Path, help="load pattern files in TOML")
+        parser.add_argument(
+            "--seeds", type=int, default=DEFAULT_SEEDS, help="number of seeds per pattern, from 1"
+        )
 
     def handle(self, arguments: argparse.Namespace) -> int:
-        """Run it and return the exit status."""
+        """Run the command and return its exit status."""
         patterns = [load_pattern(path) for path in arguments.files]
         sys.stdout.write("\t".join(HEADINGS) + "\n")
         for pattern in patterns:
@@ -46,13 +48,13 @@
 
 def _row(results: LoadResults) -> str:
     counts = (results.in_time, results.late, results.refused, results.failed, results.reads)
-    times = (results.quantile(0.5) * MILLIS, results.quantile(0.99) * MILLIS)
+    quantiles_ms = (results.quantile(0.5) * MS_PER_SECOND, results.quantile(0.99) * MS_PER_SECOND)
     return "\t".join(
         [
             str(results.requests),
             f"{results.share:.3f}",
             f"{results.worst_share:.2f}",
             *(str(count) for count in counts),
-            *(f"{milliseconds:.0f}" for milliseconds in times),
+            *(f"{milliseconds:.0f}" for milliseconds in quantiles_ms),
         ]
     )
--- a/src/hoisthook/console/commands/explain.py
+++ b/src/hoisthook/console/commands/explain.py
@@ -1,4 +1,4 @@
-"""Tells a request's story, or what failed, out of collected logs."""
+"""Prints the timeline of one request, or a summary of failures, from collected logs."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
     from collections.abc import Iterable
     from collections.abc import Iterator
 
-# Fields that every line bears, shown in the line's head.
+# Fields of every log line, printed at the start of the output line.
 _HEAD_FIELDS = frozenset({"time", "node", "event", "request"})
 MAX_SUMMARY_ROWS = 40
-MILLIS = 1000.0
+MS_PER_SECOND = 1000.0
 
 
 class LogLine(msgspec.Struct):
-    """The fields of a log line by which lines are chosen and ordered."""
+    """The fields by which log lines are selected and sorted."""
 
     time: float
     node: str
@@ -37,33 +37,35 @@
     """``hoisthook explain [--request ID] [FILE ...]``."""
 
     name = "explain"
-    description = "tell a request's story, or what failed, from collected log lines"
+    description = "print the timeline of a request, or a summary of failures, from collected logs"
 
     def configure(self, parser: argparse.ArgumentParser) -> None:
         """Add the command's arguments."""
         parser.add_argument("files", nargs="*", type=Path, help="log files; standard input if none")
-        parser.add_argument("--request", default="", help="the request's id")
+        parser.add_argument(
+            "--request", default="", help="id of the request; without it, failures are counted"
+        )
 
     def handle(self, arguments: argparse.Namespace) -> int:
-        """Run it; status 1 says that no line names the request."""
+        """Run the command; the exit status is 1 if no log line names the request."""
         lines = _read(arguments.files)
         if not arguments.request:
-            sys.stdout.writelines(summary(lines))
+            sys.stdout.writelines(failure_summary(lines))
             return 0
-        told = list(story(lines, arguments.request))
-        sys.stdout.writelines(told)
-        return 0 if told else 1
+        timeline = list(request_timeline(lines, arguments.request))
+        sys.stdout.writelines(timeline)
+        return 0 if timeline else 1
 
 
-def story(lines: Iterable[bytes], request: str) -> Iterator[str]:
-    """Yield one line a decision about a request and its calls, in order of time.
+def request_timeline(lines: Iterable[bytes], request: str) -> Iterator[str]:
+    """Yield the decisions about a request and its calls in chronological order.
 
-    Each is followed by the changes of belief at its node since that node's last one, so
-    that the story shows what was believed and how old it was. Memory grows with the
-    lines about the request and with the changes of belief, not with the log.
+    Before them come the events that are about no request: for each node involved, the latest
+    event of each name, with its age. They show the observed state on which the decisions rely.
+    Memory grows with the lines about the request and with these events, not with the whole log.
     """
     decisions: list[tuple[LogLine, bytes]] = []
-    beliefs: list[tuple[LogLine, bytes]] = []
+    events: list[tuple[LogLine, bytes]] = []
     for raw in lines:
         line = _decode(raw)
         if line is None:
@@ -71,24 +73,24 @@
         if line.request == request or line.request.startswith(f"{request}."):
             decisions.append((line, raw))
         elif not line.request:
-            # Decisions about requests name them; what names none changes a belief.
-            beliefs.append((line, raw))
+            # A decision names its request; a line without one reports a change of observed state.
+            events.append((line, raw))
     if not decisions:
         return
     decisions.sort(key=lambda pair: pair[0].time)
     first, last = decisions[0][0].time, decisions[-1][0].time
     nodes = {line.node for line, _ in decisions}
-    latest = _latest_beliefs(beliefs, nodes, last)
-    for line, raw in sorted(latest, key=lambda pair: pair[0].time):
+    latest_events = _latest_events(events, nodes, last)
+    for line, raw in sorted(latest_events, key=lambda pair: pair[0].time):
         age = first - line.time
         yield f"{'believed':>10} {line.node} {line.event} ({age:.3f} s before) {_fields(raw)}\n"
     for line, raw in decisions:
-        offset = (line.time - first) * MILLIS
+        offset = (line.time - first) * MS_PER_SECOND
         yield f"{offset:+9.1f}ms {line.node} {line.event} {line.request} {_fields(raw)}\n"
 
 
-def summary(lines: Iterable[bytes]) -> Iterator[str]:
-    """Yield how many requests ended with each code, by service and node."""
+def failure_summary(lines: Iterable[bytes]) -> Iterator[str]:
+    """Yield the number of failed requests by result code, service and node; most frequent first."""
     counts: Counter[tuple[int, str, str]] = Counter()
     for raw in lines:
         line = _decode(raw)
@@ -102,17 +104,17 @@
         yield f"{count:8} {_code_name(code)} service {service} at {node}\n"
 
 
-def _latest_beliefs(
-    beliefs: list[tuple[LogLine, bytes]], nodes: set[str], until: float
+def _latest_events(
+    events: list[tuple[LogLine, bytes]], nodes: set[str], until: float
 ) -> Iterator[tuple[LogLine, bytes]]:
-    newest: dict[tuple[str, str], tuple[LogLine, bytes]] = {}
-    for line, raw in beliefs:
+    latest_by_key: dict[tuple[str, str], tuple[LogLine, bytes]] = {}
+    for line, raw in events:
         key = (line.node, line.event)
         if line.node not in nodes or line.time > until:
             continue
-        if key not in newest or newest[key][0].time < line.time:
-            newest[key] = (line, raw)
-    yield from newest.values()
+        if key not in latest_by_key or latest_by_key[key][0].time < line.time:
+            latest_by_key[key] = (line, raw)
+    yield from latest_by_key.values()
 
 
 def _read(files: list[Path]) -> Iterator[bytes]:
@@ -129,7 +131,7 @@
 
 
 def _decode(raw: bytes) -> LogLine | None:
-    """Return a line's head; None for what is no log line, as other programs' output."""
+    """Return the parsed head of a line; None if it is not a log line, as other programs' output."""
     start = raw.find(b'{"time"')
     if start < 0:
         return None
--- a/src/hoisthook/console/commands/get_service.py
+++ b/src/hoisthook/console/commands/get_service.py
@@ -1,4 +1,4 @@
-"""Prints one service."""
+"""Prints the specification of one service."""
 
 from __future__ import annotations
 
@@ -25,6 +25,6 @@
         parser.add_argument("name")
 
     def handle(self, arguments: argparse.Namespace) -> int:
-        """Run it and return the exit status."""
+        """Run the command and return its exit status."""
         request = pb.GetServiceRequest(name=arguments.name)
         return print_reply(call(arguments.node, lambda stub: stub.GetService(request)))
--- a/src/hoisthook/console/commands/history.py
+++ b/src/hoisthook/console/commands/history.py
@@ -1,4 +1,4 @@
-"""Prints the newest changes."""
+"""Prints the most recent configuration changes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,9 @@
     """``hoisthook history``."""
 
     name = "history"
-    description = "print the newest changes, lost races included"
+    description = (
+        "print the most recent configuration changes, including those that lost a revision race"
+    )
 
     def configure(self, parser: argparse.ArgumentParser) -> None:
         """Add the command's arguments."""
@@ -25,6 +27,6 @@
         parser.add_argument("--limit", type=int, default=20)
 
     def handle(self, arguments: argparse.Namespace) -> int:
-        """Run it and return the exit status."""
+        """Run the command and return its exit status."""
         request = pb.HistoryRequest(limit=arguments.limit)
         return print_reply(call(arguments.node, lambda stub: stub.History(request)))
--- a/src/hoisthook/console/commands/list_backend_servers.py
+++ b/src/hoisthook/console/commands/list_backend_servers.py
@@ -22,9 +22,9 @@
     def configure(self, parser: argparse.ArgumentParser) -> None:
         """Add the command's arguments."""
         add_node_argument(parser)
-        parser.add_argument("--service", default="", help="only those of this service")
+        parser.add_argument("--service", default="", help="only backend servers of this service")
 
     def handle(self, arguments: argparse.Namespace) -> int:
-        """Run it and return the exit status."""
+        """Run the command and return its exit status."""
         request = pb.ListBackendServersRequest(service=arguments.service)
         return print_reply(call(arguments.node, lambda stub: stub.ListBackendServers(request)))
--- a/src/hoisthook/console/commands/list_services.py
+++ b/src/hoisthook/console/commands/list_services.py
@@ -1,4 +1,4 @@
-"""Prints all services."""
+"""Prints the specifications of all services."""
 
 from __future__ import annotations
 
@@ -24,6 +24,6 @@
         add_node_argument(parser)
 
     def handle(self, arguments: argparse.Namespace) -> int:
-        """Run it and return the exit status."""
+        """Run the command and return its exit status."""
         request = pb.ListServicesRequest()
         return print_reply(call(arguments.node, lambda stub: stub.ListServices(request)))
--- a/src/hoisthook/console/commands/put_service.py
+++ b/src/hoisthook/console/commands/put_service.py
@@ -31,10 +31,10 @@
     def configure(self, parser: argparse.ArgumentParser) -> None:
         """Add the command's arguments."""
         add_change_arguments(parser)
-        parser.add_argument("file", type=Path, help="a service specification in TOML")
+        parser.add_argument("file", type=Path, help="service specification in TOML")
 
     def handle(self, arguments: argparse.Namespace) -> int:
-        """Run it and return the exit status."""
+        """Run the command and return its exit status."""
         spec = load_spec(arguments.file)
         request = pb.PutServiceRequest(
             header=change_header(arguments), service=spec_to_message(spec)
@@ -43,12 +43,12 @@
 
 
 def load_spec(path: Path) -> ServiceSpec:
-    """Return the specification in a file.
+    """Return the service specification in a TOML file.
 
     Raises
     ------
     SettingsError
-        If it cannot be read or breaks a rule.
+        If the file cannot be read or parsed, or a value is invalid.
     """
     try:
         spec = msgspec.convert(tomllib.loads(path.read_bytes().decode()), ServiceSpec)
--- a/src/hoisthook/console/commands/restore.py
+++ b/src/hoisthook/console/commands/restore.py
@@ -1,4 +1,4 @@
-"""Takes an evacuated data centre back."""
+"""Ends the evacuation of a data centre: its backend servers get requests again."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
     """``hoisthook restore``."""
 
     name = "restore"
-    description = "let the backend servers of a data centre take new work again"
+    description = "end the evacuation of a data centre: send its backend servers requests again"
 
     def configure(self, parser: argparse.ArgumentParser) -> None:
         """Add the command's arguments."""
         add_evacuation_arguments(parser)
 
     def handle(self, arguments: argparse.Namespace) -> int:
-        """Run it and return the exit status."""
+        """Run the command and return its exit status."""
         return set_evacuation(arguments, evacuated=False)
--- a/src/hoisthook/console/commands/run.py
+++ b/src/hoisthook/console/commands/run.py
@@ -1,4 +1,4 @@
-"""Runs a node until it is told to stop."""
+"""Runs a node until SIGTERM or SIGINT."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
     from hoisthook.settings.node_settings import NodeSettings
 
-EXIT_CUT = 3
+EXIT_INTERRUPTED = 3
 EXIT_ERROR = 2
 
 
@@ -36,10 +36,13 @@
 
     def configure(self, parser: argparse.ArgumentParser) -> None:
         """Add the command's arguments."""
-        parser.add_argument("file", type=Path, help="settings in TOML")
+        parser.add_argument("file", type=Path, help="settings file in TOML")
 
     def handle(self, arguments: argparse.Namespace) -> int:
-        """Run it; status 0 says that no request was cut, 3 that some were."""
+        """Run the command; the exit status is 3 if the shutdown interrupted requests.
+
+        It is 2 if the node cannot start, and 0 if all requests in progress were completed.
+        """
         return run(_run(load_settings(arguments.file)))
 
 
@@ -58,13 +61,13 @@
     )
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     try:
         await node.start()
     except HoisthookError as error:
         sys.stderr.write(f"{error}\n")
         return EXIT_ERROR
     await stop.wait()
-    whole = await node.close()
-    return 0 if whole else EXIT_CUT
+    completed = await node.close()
+    return 0 if completed else EXIT_INTERRUPTED
--- a/src/hoisthook/console/commands/schema.py
+++ b/src/hoisthook/console/commands/schema.py
@@ -1,4 +1,4 @@
-"""Prints the operators' published schema."""
+"""Prints the published schema of the operators' RPC interface."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
     """``hoisthook schema``."""
 
     name = "schema"
-    description = "print the schema of the operators' calls"
+    description = "print the schema of the operators' RPC interface"
 
     def configure(self, parser: argparse.ArgumentParser) -> None:
         """Add the command's arguments."""
 
     def handle(self, arguments: argparse.Namespace) -> int:
-        """Run it and return the exit status."""
+        """Run the command and return its exit status."""
         sys.stdout.write(resources.files("hoisthook.rpc").joinpath("operator.proto").read_text())
         return 0
--- a/src/hoisthook/console/commands/status.py
+++ b/src/hoisthook/console/commands/status.py
@@ -1,4 +1,4 @@
-"""Prints a node's status."""
+"""Prints the status of a node."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
     """``hoisthook status``."""
 
     name = "status"
-    description = "print a node's status"
+    description = "print the status of a node"
 
     def configure(self, parser: argparse.ArgumentParser) -> None:
         """Add the command's arguments."""
         add_node_argument(parser)
 
     def handle(self, arguments: argparse.Namespace) -> int:
-        """Run it and return the exit status."""
+        """Run the command and return its exit status."""
         request = pb.NodeStatusRequest()
         return print_reply(call(arguments.node, lambda stub: stub.NodeStatus(request)))
--- a/src/hoisthook/console/commands/undrain.py
+++ b/src/hoisthook/console/commands/undrain.py
@@ -1,4 +1,4 @@
-"""Lets a drained backend server take work again."""
+"""Ends the drain of a backend server: it gets requests again."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
     """``hoisthook undrain``."""
 
     name = "undrain"
-    description = "let a drained backend server take work again"
+    description = "end the drain of a backend server: send it requests again"
 
     def configure(self, parser: argparse.ArgumentParser) -> None:
         """Add the command's arguments."""
         add_drain_arguments(parser)
 
     def handle(self, arguments: argparse.Namespace) -> int:
-        """Run it and return the exit status."""
+        """Run the command and return its exit status."""
         return set_drain(arguments, drained=False)
--- a/src/hoisthook/console/drain_call.py
+++ b/src/hoisthook/console/drain_call.py
@@ -1,4 +1,4 @@
-"""What ``hoisthook drain`` and ``hoisthook undrain`` share."""
+"""Arguments and RPC of ``hoisthook drain`` and ``hoisthook undrain``."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 
 def add_drain_arguments(parser: argparse.ArgumentParser) -> None:
-    """Add which backend server is meant."""
+    """Add the change arguments and the backend server."""
     add_change_arguments(parser)
     parser.add_argument(
-        "--expected", action="store_true", help="the id may be one that no node knows yet"
+        "--expected", action="store_true", help="accept an id that no node knows yet"
     )
     parser.add_argument("backend_server")
 
 
 def set_drain(arguments: argparse.Namespace, *, drained: bool) -> int:
-    """Send the change, print the reply and return the exit status."""
+    """Set or end a drain, print the reply and return the exit status."""
     request = pb.SetDrainRequest(
         header=change_header(arguments),
         backend_server=arguments.backend_server,
--- a/src/hoisthook/console/evacuation_call.py
+++ b/src/hoisthook/console/evacuation_call.py
@@ -1,4 +1,4 @@
-"""What ``hoisthook evacuate`` and ``hoisthook restore`` share."""
+"""Arguments and RPC of ``hoisthook evacuate`` and ``hoisthook restore``."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 def add_evacuation_arguments(parser: argparse.ArgumentParser) -> None:
-    """Add which data centre is meant."""
+    """Add the change arguments and the data centre."""
     add_change_arguments(parser)
     parser.add_argument("data_centre")
 
 
 def set_evacuation(arguments: argparse.Namespace, *, evacuated: bool) -> int:
-    """Send the change, print the reply and return the exit status."""
+    """Set or end an evacuation, print the reply and return the exit status."""
     request = pb.SetEvacuationRequest(
         header=change_header(arguments),
         data_centre=arguments.data_centre,
--- a/src/hoisthook/console/operator_call.py
+++ b/src/hoisthook/console/operator_call.py
@@ -1,4 +1,4 @@
-"""What the operators' commands share: one call to one node, printed as JSON."""
+"""Calls of the operators' RPC interface of one node, with the reply printed as JSON."""
 
 from __future__ import annotations
 
@@ -26,29 +26,31 @@
 
     from google.protobuf.message import Message
 
-CALL_SECONDS = 10.0
+CALL_TIMEOUT_SECONDS = 10.0
 EXIT_REFUSED = 1
 
 
 def add_node_argument(parser: argparse.ArgumentParser) -> None:
     """Add ``--node``."""
-    parser.add_argument("--node", required=True, help="any node's operators' address, host:port")
+    parser.add_argument("--node", required=True, help="operators' address of any node, host:port")
 
 
 def add_change_arguments(parser: argparse.ArgumentParser) -> None:
-    """Add what every change carries."""
+    """Add ``--node`` and the arguments of the change header."""
     add_node_argument(parser)
     parser.add_argument(
-        "--base-revision", type=int, default=0, help="revision that the change is based on"
+        "--base-revision", type=int, default=0, help="revision on which the change is based"
     )
     parser.add_argument(
-        "--operation-id", default="", help="repeat a call safely with the same id; default random"
+        "--operation-id",
+        default="",
+        help="id that makes a repeated call idempotent; default random",
     )
-    parser.add_argument("--author", default="", help="free text for the history")
+    parser.add_argument("--author", default="", help="free text shown in the history")
 
 
 def change_header(arguments: argparse.Namespace) -> pb.ChangeHeader:
-    """Return the header that the arguments say."""
+    """Return the change header built from the arguments."""
     return pb.ChangeHeader(
         operation_id=arguments.operation_id or secrets.token_hex(8),
         base_revision=arguments.base_revision,
@@ -57,19 +59,20 @@
 
 
 def call(node: str, method: Callable[[OperatorStub], Awaitable[Any]]) -> Any:
-    """Return the reply of one call.
+    """Call one method of a node and return the reply.
 
     Parameters
     ----------
     node : str
-        The node's operators' address.
+        Operators' address of the node, ``host:port``.
     method : callable
-        Makes the call on a stub.
+        Starts the call on a stub.
 
     Raises
     ------
     HoisthookError
-        With ``OPERATOR_CALL_FAILED`` if no reply came.
+        With ``OPERATOR_CALL_FAILED`` if no reply arrives within 10 s, or ``SETTINGS_VALUE`` if the
+        address is invalid.
     """
     try:
         host, port = parse_address(node)
@@ -79,7 +82,7 @@
 
 
 def print_reply(reply: Message) -> int:
-    """Print a reply as JSON and return the exit status that its code asks for."""
+    """Print a reply as JSON; return exit status 1 if it carries an error code, else 0."""
     text = json_format.MessageToJson(
         reply, preserving_proto_field_name=True, always_print_fields_with_no_presence=True
     )
@@ -90,7 +93,7 @@
 async def _call(host: str, port: int, method: Callable[[OperatorStub], Awaitable[Any]]) -> Any:
     channel = Channel(host, port)
     try:
-        async with asyncio.timeout(CALL_SECONDS):
+        async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
             return await method(OperatorStub(channel))
     except (OSError, TimeoutError, GRPCError, StreamTerminatedError) as error:
         detail = f"{host}:{port}: {error!r}"
--- a/src/hoisthook/experiment/__init__.py
+++ b/src/hoisthook/experiment/__init__.py
@@ -1,3 +1,3 @@
-"""A model of the systems served, on virtual time, that runs the real decisions on modelled load."""
+"""Simulation on virtual time: the routing and admission code of nodes under modelled load."""
 
 from __future__ import annotations
--- a/src/hoisthook/experiment/arrival_ledger.py
+++ b/src/hoisthook/experiment/arrival_ledger.py
@@ -1,4 +1,4 @@
-"""What reached the backend servers of each service, and what callers asked of it."""
+"""Counts of requests by callers and of repeats at backend servers, per service."""
 
 from __future__ import annotations
 
@@ -12,87 +12,89 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RetryWindow:
-    """One window of a service.
+class RepeatWindow:
+    """Repeats of a service within one time window, and their limit.
 
     Attributes
     ----------
-    begins : float
-        Seconds.
+    start : float
+        Start of the window in seconds.
     beyond : int
-        Arrivals beyond the first of their request.
+        Arrivals in the window after the first of their request.
     allowed : float
-        How many may be.
+        Limit of the repeats in the window.
     """
 
-    begins: float
+    start: float
     beyond: int
     allowed: float
 
 
 @dataclass(slots=True)
 class ArrivalLedger:
-    """Adds up over all nodes what each of them sees a part of.
+    """Records requests and arrivals over all nodes; a single node sees only a part of them.
 
     Attributes
     ----------
-    requested_by_service, beyond_by_service : dict of ServiceName to list of float
-        When callers sent requests, and when more than the first of a request arrived.
+    request_times_by_service, repeat_times_by_service : dict of ServiceName to list of float
+        Times, in seconds, at which callers sent requests and at which repeats arrived.
     """
 
-    requested_by_service: dict[ServiceName, list[float]] = field(default_factory=dict)
-    beyond_by_service: dict[ServiceName, list[float]] = field(default_factory=dict)
-    _arrived: set[RequestId] = field(default_factory=set)
+    request_times_by_service: dict[ServiceName, list[float]] = field(default_factory=dict)
+    repeat_times_by_service: dict[ServiceName, list[float]] = field(default_factory=dict)
+    _arrived_requests: set[RequestId] = field(default_factory=set)
 
     def requested(self, service: ServiceName, now: float) -> None:
-        """Note a request of a caller, whether it arrives or not."""
-        self.requested_by_service.setdefault(service, []).append(now)
+        """Record a request of a caller, whether or not it arrives at a backend server."""
+        self.request_times_by_service.setdefault(service, []).append(now)
 
     def arrived(
         self, service: ServiceName, request: RequestId, now: float, *, by_repeat: bool
     ) -> bool:
-        """Note an arrival at a backend server; return whether its run is a repeat.
+        """Record an arrival at a backend server; return whether its execution is a repeat.
 
         Parameters
         ----------
         service : ServiceName
-            Where it arrives.
+            Service of the backend server.
         request : RequestId
-            Of a caller, or of a call.
+            Id of the caller's request, or of the call.
         now : float
-            The moment.
+            Time of the arrival in seconds.
         by_repeat : bool
-            Whether it is a call of a run that is a repeat itself.
+            Whether it is a call made by an execution that is a repeat itself.
         """
-        is_repeat = by_repeat or request in self._arrived
-        self._arrived.add(request)
+        is_repeat = by_repeat or request in self._arrived_requests
+        self._arrived_requests.add(request)
         if is_repeat:
-            self.beyond_by_service.setdefault(service, []).append(now)
+            self.repeat_times_by_service.setdefault(service, []).append(now)
         return is_repeat
 
     def fullest(
         self, service: ServiceName, *, ratio: float, window: float, extra: float
-    ) -> RetryWindow:
-        """Return the window that has least room left, or most beyond what is allowed.
+    ) -> RepeatWindow:
+        """Return the window with the least remaining budget, or the largest excess over it.
 
-        Requests count in the window, the one before, or the one half a window before, whichever
-        has most.
+        The limit of a window is ``extra`` plus ``ratio`` times the most requests in any of three
+        windows: this one, the one before it, and the one that starts half a window earlier.
         """
-        beyond = self.beyond_by_service.get(service, [])
-        requested = self.requested_by_service.get(service, [])
+        repeat_times = self.repeat_times_by_service.get(service, [])
+        request_times = self.request_times_by_service.get(service, [])
         windows = (
-            RetryWindow(begin, made, ratio * self._asked(requested, begin, window) + extra)
-            for begin in beyond
-            for made in [_within(beyond, begin, window)]
+            RepeatWindow(
+                start, count, ratio * self._request_count(request_times, start, window) + extra
+            )
+            for start in repeat_times
+            for count in [_count_within(repeat_times, start, window)]
         )
-        none = RetryWindow(0.0, 0, extra)
-        return max(windows, key=lambda w: w.beyond - w.allowed, default=none)
+        empty = RepeatWindow(0.0, 0, extra)
+        return max(windows, key=lambda w: w.beyond - w.allowed, default=empty)
 
     @staticmethod
-    def _asked(requested: list[float], begin: float, window: float) -> int:
-        begins = (begin, begin - window / 2.0, begin - window)
-        return max(_within(requested, moment, window) for moment in begins)
+    def _request_count(request_times: list[float], start: float, window: float) -> int:
+        starts = (start, start - window / 2.0, start - window)
+        return max(_count_within(request_times, begin, window) for begin in starts)
 
 
-def _within(moments: list[float], begin: float, window: float) -> int:
-    return sum(1 for moment in moments if begin <= moment < begin + window)
+def _count_within(times: list[float], start: float, window: float) -> int:
+    return sum(1 for time in times if start <= time < start + window)
--- a/src/hoisthook/experiment/load_pattern.py
+++ b/src/hoisthook/experiment/load_pattern.py
@@ -1,4 +1,4 @@
-"""Load patterns: what is asked of a modelled system and what befalls it."""
+"""Load patterns: the services, requests and disruptions of a simulation, and its results."""
 
 from __future__ import annotations
 
@@ -14,51 +14,51 @@
 
 
 class DisruptionKind(Enum):
-    """What can befall modelled backend servers or callers."""
+    """Kinds of disruption of modelled backend servers, nodes or callers."""
 
     BURST = "burst"
-    """Callers send ``strength`` times as much."""
+    """Callers send ``strength`` times as many requests."""
 
     RESTART = "restart"
-    """Servers restart at once: work in progress is lost, then they are cold."""
+    """Servers restart together: requests in progress are lost, then the servers are cold."""
 
     DEGRADED = "degraded"
-    """Work takes ``strength`` times as long and no load report says so."""
+    """Requests take ``strength`` times as long, and load reports do not show it."""
 
     ERRORS = "errors"
-    """A share ``strength`` of the requests fails at once."""
+    """A share ``strength`` of the requests fails immediately."""
 
     SHEDS = "sheds"
-    """A share ``strength`` of the requests is turned away by the server itself."""
+    """A share ``strength`` of the requests is shed by the server itself."""
 
     GONE = "gone"
-    """Servers and their nodes are gone without a word; a connection to them is not answered."""
+    """Servers and their nodes are down without notice; connections to them time out."""
 
     RETRIES = "retries"
-    """Callers repeat what fails ``strength`` times, at once."""
+    """Callers retry failed requests up to ``strength`` times, without backoff."""
 
     SILENT = "silent"
-    """Nodes answer nothing; what is sent to them meanwhile arrives when that ends."""
+    """Nodes are unresponsive; requests sent to them meanwhile arrive when the disruption ends."""
 
     NODE_STARTS = "node_starts"
-    """Nodes start anew and know nothing of before; until it ends they know a few others only."""
+    """Nodes restart without state; until it ends they know only nodes of their data centre."""
 
 
 class Disruption(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One disruption.
+    """A disruption that starts at a given time and lasts for a given duration.
 
     Attributes
     ----------
     kind : DisruptionKind
-        What.
+        Its kind.
     at, lasts : float
-        Seconds from the start, and for how long.
+        Start, in seconds from the start of the pattern, and duration in seconds.
     strength : float
-        As the kind says.
+        Meaning depends on the kind.
     share : float
-        Of the servers of the service that it befalls.
+        Share of the servers of the service that are affected; of all nodes for ``NODE_STARTS``.
     service : ServiceName
-        Whose; empty for all.
+        Service affected; empty for all.
     """
 
     kind: DisruptionKind
@@ -70,20 +70,20 @@
 
 
 class ServerTraits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How a modelled backend server works.
+    """Capacity and speed of a modelled backend server.
 
     Attributes
     ----------
     slots, queue : int
-        Requests that it runs at once, and that wait there.
+        Numbers of requests that it executes concurrently and that its queue holds.
     knee, knee_factor : float
-        Share of the slots beyond which work takes that many times as long.
+        Share of the slots in use above which requests take ``knee_factor`` times as long.
     slow_share, slow_factor : float
-        Share of the time in slow moments, and how many times as long work takes in them.
+        Share of the time in slow periods, and factor by which requests take longer in them.
     slow_seconds : float
-        How long the speed stays as it is before it is drawn again.
+        Mean time after which it is drawn again whether the server is slow.
     cold_seconds, cold_factor : float
-        How long after a start, and how many times as long work takes then.
+        Time after a start, and factor by which requests take longer then.
     """
 
     slots: int = 18
@@ -98,7 +98,7 @@
 
 
 class ServiceTraits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A service: its name, how many backend servers it has, and how they work."""
+    """A service: its name, number of backend servers, and their traits."""
 
     name: ServiceName
     servers: int
@@ -106,32 +106,32 @@
 
 
 class RouteTraits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Requests of one route.
+    """Rate, work and value of the requests of one route.
 
     Attributes
     ----------
     name : RouteName
-        Unique.
+        Unique name of the route.
     service : ServiceName
-        Who runs them.
+        Service that executes the requests.
     per_second : float
-        How many come, over all entries; 0 for calls only.
+        Rate of requests by callers, over all ingress nodes; 0 if other routes alone call it.
     work, spread : float
-        Median of the work in seconds, and the standard deviation of its logarithm.
+        Median of the service time in seconds, and standard deviation of its logarithm.
     target, timeout : float
-        Seconds.
+        Target latency and timeout in seconds.
     priority : int
-        Rank; 0 is the most urgent.
+        Priority; 0 is the most urgent.
     repeatable : bool
-        Whether they may run more than once.
+        Whether requests may be executed more than once.
     worth, late_worth : float
-        What an answer within the target, and a late one, is worth.
+        Values of a response within the target latency and of a late response.
     calls : RouteName
-        A route that the work calls once; empty for none.
+        Route that a request may call once; empty for none.
     call_share : float
-        How often it does.
+        Share of the requests that make this call.
     retries : int
-        How often callers come back after a refusal or a failure.
+        Maximum number of retries by a caller after a refusal or a failure.
     """
 
     name: RouteName
@@ -151,20 +151,20 @@
 
 
 class LoadPattern(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A system and what happens in it; read from a TOML file.
+    """The services, routes and disruptions of a simulation; read from a TOML file.
 
     Attributes
     ----------
     name : str
-        For tables.
+        Name in tables of results.
     seconds : float
-        How long it is played.
+        Duration of the simulation in virtual time.
     services : list of ServiceTraits
-        Each backend server has a node beside it.
+        Each of their backend servers has a node.
     routes : list of RouteTraits
-        What is asked.
+        Requests of callers, and calls between services.
     troubles : list of Disruption
-        What befalls it.
+        Disruptions of the simulation.
     """
 
     name: str
@@ -176,27 +176,27 @@
 
 @dataclass(slots=True)
 class LoadResults:
-    """What became of the requests of callers; calls within requests are not counted.
+    """Outcomes of callers' requests; calls made by requests are not counted.
 
     Attributes
     ----------
-    owed, earned : float
-        Worth of all requests, and of those answered.
-    owed_by_second, earned_by_second : dict of int to float
-        The same by the second in which a request came.
+    offered, earned : float
+        Values of all requests, and of those answered.
+    offered_by_second, earned_by_second : dict of int to float
+        The same by the second in which the request was sent.
     in_time, late, refused, failed : int
-        Requests by outcome.
+        Numbers of requests by outcome.
     reads : int
-        Reads of the load.
+        Reads of the load of backend servers.
     unanswered : int
-        Connections that nobody answered.
+        Connections that timed out.
     seconds : list of float
-        From a caller's first try to its answer.
+        Times from a caller's first attempt to the response.
     arrivals : ArrivalLedger
-        What reached backend servers, calls among it.
+        Arrivals at backend servers, including those of calls.
     """
 
-    owed: float = 0.0
+    offered: float = 0.0
     earned: float = 0.0
     in_time: int = 0
     late: int = 0
@@ -204,33 +204,33 @@
     failed: int = 0
     reads: int = 0
     unanswered: int = 0
-    owed_by_second: dict[int, float] = field(default_factory=dict)
+    offered_by_second: dict[int, float] = field(default_factory=dict)
     earned_by_second: dict[int, float] = field(default_factory=dict)
     seconds: list[float] = field(default_factory=list)
     arrivals: ArrivalLedger = field(default_factory=ArrivalLedger)
 
     @property
     def requests(self) -> int:
-        """Return how many requests came."""
+        """Return the number of requests."""
         return self.in_time + self.late + self.refused + self.failed
 
     @property
     def share(self) -> float:
-        """Return the earned share of what was owed."""
-        return self.earned / self.owed if self.owed else 1.0
+        """Return the ratio of earned to offered value; 1 without requests."""
+        return self.earned / self.offered if self.offered else 1.0
 
     @property
     def worst_share(self) -> float:
-        """Return the earned share in the worst second."""
+        """Return the lowest ratio of earned to offered value in any second."""
         shares = (
-            self.earned_by_second.get(second, 0.0) / owed
-            for second, owed in self.owed_by_second.items()
-            if owed > 0
+            self.earned_by_second.get(second, 0.0) / offered
+            for second, offered in self.offered_by_second.items()
+            if offered > 0
         )
         return min(shares, default=1.0)
 
     def quantile(self, share: float) -> float:
-        """Return the time within which a share of the answers came, in seconds."""
+        """Return the quantile ``share`` of the response times, in seconds; 0 without responses."""
         if not self.seconds:
             return 0.0
         ordered = sorted(self.seconds)
--- a/src/hoisthook/experiment/modelled_hop.py
+++ b/src/hoisthook/experiment/modelled_hop.py
@@ -1,4 +1,4 @@
-"""The way from one modelled node to another."""
+"""Hops from one modelled node to another."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
     from hoisthook.port.clock import Clock
 
 
-# One way between instances.
+# Network latency between two instances, one way.
 HOP_SECONDS = 0.001
-# Until a connection that nobody answers is given up.
-CONNECT_SECONDS = 0.1
+# Timeout of a connection that is not answered.
+CONNECT_TIMEOUT_SECONDS = 0.1
 
 
 class ModelledHop:
-    """Takes a request to a node and its answer back."""
+    """Forwards requests to nodes and returns their outcomes."""
 
     def __init__(self, node: ModelledNode, system: ModelledSystem, clock: Clock) -> None:
         self._node = node
@@ -42,24 +42,24 @@
     async def run(
         self, view: PeerView, call: RoutedCall, admission: Admission
     ) -> Outcome | PendingOutcome:
-        """Run the request there and learn from what comes back."""
+        """Forward a request to the peer, record what its node reports and return the outcome."""
         node = self._system.node_by_id[view.peer.node]
         if node.server.is_gone():
-            return await self._connect_in_vain(view)
+            return await self._fail_to_connect(view)
         if node.server.silent_until() > self._clock.now() and not view.is_self:
-            return await self._wait_in_vain(view, call, admission, node)
-        way = 0.0 if view.is_self else HOP_SECONDS
+            return await self._wait_for_silent_node(view, call, admission, node)
+        latency = 0.0 if view.is_self else HOP_SECONDS
         view.sent()
         try:
-            await asyncio.sleep(way)
+            await asyncio.sleep(latency)
             outcome = await node.run(call, admission)
-            await asyncio.sleep(way)
+            await asyncio.sleep(latency)
         finally:
             view.ended()
-        self._heard(view, call, node, outcome)
+        self._record_outcome(view, call, node, outcome)
         return outcome
 
-    def _heard(
+    def _record_outcome(
         self, view: PeerView, call: RoutedCall, node: ModelledNode, outcome: Outcome
     ) -> None:
         now = self._clock.now()
@@ -72,24 +72,28 @@
             view.no_repeats_until = now + outcome.retry_after
 
     def close(self) -> None:
-        """Stop the probes that are under way."""
+        """Cancel the probes in progress."""
         self._probes.close()
 
     def probe(self, view: PeerView) -> None:
-        """Find out beside the requests whether a suspected node takes connections again."""
-        view.close_until(self._clock.now() + CONNECT_SECONDS)
+        """Check in the background whether a suspected node accepts connections again."""
+        view.close_until(self._clock.now() + CONNECT_TIMEOUT_SECONDS)
         self._probes.start(self._probe(view))
 
     async def _probe(self, view: PeerView) -> None:
         if self._system.node_by_id[view.peer.node].server.is_gone():
-            await self._connect_in_vain(view)
+            await self._fail_to_connect(view)
         else:
             view.connected()
 
-    async def _wait_in_vain(
+    async def _wait_for_silent_node(
         self, view: PeerView, call: RoutedCall, admission: Admission, node: ModelledNode
     ) -> Refused | PendingOutcome:
-        """Bear the silence of a node, which still sends on what is whole when it wakes."""
+        """Time out at a silent node, which executes complete requests once it responds again.
+
+        A request that is held back until the node accepts it is refused. Any other request has
+        been sent completely, so its outcome is pending.
+        """
         held_back = call.held_back or view.may_be_silent(self._clock.now())
         sent = dataclasses.replace(call)
         await asyncio.sleep(ADMISSION_SECONDS)
@@ -97,28 +101,28 @@
         view.unreachable(self._clock.now())
         if held_back:
             return Refused(ResultCode.NODE_SILENT, SILENT_RETRY_SECONDS)
-        late = asyncio.ensure_future(self._run_late(view, sent, admission, node))
-        # What is withdrawn may be on its way all the same.
-        self._probes.start(_until_done(late))
-        return PendingOutcome(asyncio.ensure_future(_shielded(late)))
+        delayed_run = asyncio.ensure_future(self._run_delayed(view, sent, admission, node))
+        # A withdrawn request may already be in transit, so it still reaches the node.
+        self._probes.start(_until_done(delayed_run))
+        return PendingOutcome(asyncio.ensure_future(_shielded(delayed_run)))
 
-    async def _run_late(
+    async def _run_delayed(
         self, view: PeerView, call: RoutedCall, admission: Admission, node: ModelledNode
     ) -> Outcome:
         await asyncio.sleep(node.server.silent_until() - self._clock.now())
         outcome = await node.run(call, admission)
-        self._heard(view, call, node, outcome)
+        self._record_outcome(view, call, node, outcome)
         return outcome
 
-    async def _connect_in_vain(self, view: PeerView) -> Refused:
-        await asyncio.sleep(CONNECT_SECONDS)
+    async def _fail_to_connect(self, view: PeerView) -> Refused:
+        await asyncio.sleep(CONNECT_TIMEOUT_SECONDS)
         self._system.results.unanswered += 1
         return Refused(ResultCode.UNREACHABLE, view.unreachable(self._clock.now()))
 
 
-async def _until_done(work: asyncio.Future[Outcome]) -> None:
-    await asyncio.wait((work,))
+async def _until_done(run: asyncio.Future[Outcome]) -> None:
+    await asyncio.wait((run,))
 
 
-async def _shielded(work: asyncio.Future[Outcome]) -> Outcome:
-    return await asyncio.shield(work)
+async def _shielded(run: asyncio.Future[Outcome]) -> Outcome:
+    return await asyncio.shield(run)
--- a/src/hoisthook/experiment/modelled_node.py
+++ b/src/hoisthook/experiment/modelled_node.py
@@ -1,4 +1,4 @@
-"""A node of the model: admission beside a modelled backend server, and the entry for callers."""
+"""A modelled node: admission control of one modelled backend server, and ingress for callers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from hoisthook.admission.running_requests import RunningRequests
 from hoisthook.admission.server_speed import ServerSpeed
 from hoisthook.experiment.modelled_hop import ModelledHop
-from hoisthook.experiment.modelled_server import Ended
+from hoisthook.experiment.modelled_server import ExecutionResult
 from hoisthook.experiment.modelled_server import ModelledServer
 from hoisthook.local_backend.repeat_limit import RepeatLimit
 from hoisthook.measure.measure_budget import MeasureBudget
@@ -37,7 +37,7 @@
     from hoisthook.port.clock import Clock
 
 
-# How long a read of the load takes.
+# Duration of a read of the load.
 READ_SECONDS = 0.001
 USABLE_SHARE = 0.8
 READS_PER_SECOND = 60.0
@@ -47,18 +47,18 @@
 FAILURE = 500
 
 
-class NoLog:
-    """An event log that keeps nothing."""
+class NullEventSink:
+    """An event sink that discards everything."""
 
     def event(self, name: str, **fields: object) -> None:
-        """Pass over an event."""
+        """Discard an event."""
 
     def decision(self, name: str, **fields: object) -> None:
-        """Pass over a decision."""
+        """Discard a decision."""
 
 
 class ModelledReader:
-    """Reads a modelled backend server's load; one read at a time."""
+    """Reads the load of a modelled backend server; one read at a time."""
 
     def __init__(self, server: ModelledServer, speed: ServerSpeed, clock: Clock) -> None:
         self._server = server
@@ -69,11 +69,11 @@
 
     @property
     def is_reading(self) -> bool:
-        """Return whether a read is under way."""
+        """Return whether a read is in progress."""
         return self._reading is not None and not self._reading.done()
 
     async def read(self) -> None:
-        """Read once, or wait for the read under way."""
+        """Read the load, or wait for the read in progress."""
         if self._reading is None or self._reading.done():
             self._reading = asyncio.get_running_loop().create_task(self._read())
         await asyncio.shield(self._reading)
@@ -85,7 +85,11 @@
 
 
 class ModelledNode:
-    """Admission beside one modelled backend server, and the entry for callers."""
+    """Admission control of one modelled backend server, and ingress for its callers.
+
+    Admission, routing and the retry budget are those of a real node; the backend server, the
+    network and the clock are modelled.
+    """
 
     def __init__(
         self, peer: Peer, server: ModelledServer, system: ModelledSystem, clock: Clock
@@ -100,38 +104,38 @@
         self.admitter = Admitter(self._speed, self.reader, budget, USABLE_SHARE, clock)
         self.admitter.has_slots(server.slots)
         self.hop = ModelledHop(self, system, clock)
-        self.begin()
+        self.restart()
 
-    def begin(self) -> None:
-        """Begin as a process does that knows nothing of its predecessor."""
+    def restart(self) -> None:
+        """Reset running requests, peers, routing and repeat budget, as a process restart does."""
         self.running = RunningRequests(self._clock)
-        self.directory = PeerDirectory(self.peer, NoLog())
+        self.directory = PeerDirectory(self.peer, NullEventSink())
         choice = PeerChoice(
             self.directory,
             ChoiceSettings(DATA_CENTRE_COST),
-            Evacuations(NoLog()),
+            Evacuations(NullEventSink()),
             random.Random(self._system.draw()),
         )
         self.dispatcher = RoutedDispatcher(choice, self.hop, self._clock)
         self.repeats = RepeatLimit(
-            self.peer.node, self.directory, RETRY_SETTINGS, self._clock, NoLog()
+            self.peer.node, self.directory, RETRY_SETTINGS, self._clock, NullEventSink()
         )
 
-    def listed(self, peers: list[Peer]) -> None:
-        """Take in all nodes but those that it cannot know yet."""
-        if self._system.starts_until(self) > self._clock.now():
+    def add_peers(self, peers: list[Peer]) -> None:
+        """Add peers to the directory, except those that the node cannot know yet."""
+        if self._system.partial_view_until(self) > self._clock.now():
             peers = [peer for peer in peers if peer.data_centre == self.peer.data_centre]
         else:
             self.directory.is_complete = True
         self.directory.merge(peers, "model")
 
     def load(self) -> NodeLoad:
-        """Return what the node tells others."""
+        """Return the load that the node reports to its peers."""
         gate = self.admitter.gate
         return NodeLoad(gate.running, gate.waiting, gate.limit, self._speed.slowdown, 0.0)
 
     async def run(self, call: RoutedCall, admission: Admission) -> Outcome:
-        """Run a request beside this node as a node does."""
+        """Admit a request and execute it at the backend server, in the steps of a real node."""
         if not self.server.is_up():
             return Refused(ResultCode.UNREACHABLE, 0.3)
         demand = self.admitter.demand(
@@ -155,41 +159,41 @@
         if admitted_request is None:
             retry_after = self.admitter.policy.time_to_start(demand)
             return Refused(ResultCode.QUEUE_TIMEOUT, retry_after)
-        begun = self._clock.now()
+        started = self._clock.now()
         try:
             refused = self.repeats.arrives(call)
             if refused is not None:
                 return refused
             running = RunningRequest(call.request_id, call.route, call.priority, call.repeat)
-            beside = self.running
-            beside.begin(running)
+            running_requests = self.running
+            running_requests.begin(running)
             try:
-                ended = await self._work(call)
+                result = await self._execute(call)
             finally:
-                beside.end(running)
-            if ended is Ended.DONE:
-                self.admitter.worked(admitted_request, self._clock.now() - begun)
+                running_requests.end(running)
+            if result is ExecutionResult.DONE:
+                self.admitter.worked(admitted_request, self._clock.now() - started)
             self._speed.slow_periods.reported(self.server.slowdown(), self._clock.now())
         finally:
             self.admitter.leave(admitted_request)
-        match ended:
-            case Ended.DONE:
+        match result:
+            case ExecutionResult.DONE:
                 return CompleteAnswer(SUCCESS, [], b"")
-            case Ended.FAILED:
+            case ExecutionResult.FAILED:
                 return CompleteAnswer(FAILURE, [], b"")
-            case Ended.SHED:
+            case ExecutionResult.SHED:
                 return Refused(ResultCode.BACKEND_SERVER_SHED, 0.1)
-            case Ended.LOST:
+            case ExecutionResult.LOST:
                 return Lost(ResultCode.ANSWER_LOST)
 
-    async def _work(self, call: RoutedCall) -> Ended:
+    async def _execute(self, call: RoutedCall) -> ExecutionResult:
         route = self._system.route_by_name[call.route]
-        is_repeat = self._system.arrived(call)
-        ended = await self.server.run(route)
-        if ended is not Ended.DONE or self._system.draw_share() >= route.call_share:
-            return ended
+        is_repeat = self._system.record_arrival(call)
+        result = await self.server.run(route)
+        if result is not ExecutionResult.DONE or self._system.draw_share() >= route.call_share:
+            return result
         called = self._system.route_by_name[route.calls]
         time_left = call.deadline - self._clock.now()
-        outcome = await self._system.ask(self, called, time_left, by_repeat=is_repeat)
+        outcome = await self._system.send_request(self, called, time_left, by_repeat=is_repeat)
         served = isinstance(outcome, CompleteAnswer) and outcome.status == SUCCESS
-        return Ended.DONE if served else Ended.FAILED
+        return ExecutionResult.DONE if served else ExecutionResult.FAILED
--- a/src/hoisthook/experiment/modelled_server.py
+++ b/src/hoisthook/experiment/modelled_server.py
@@ -1,4 +1,4 @@
-"""A backend server in the model."""
+"""A modelled backend server."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
     from hoisthook.port.clock import Clock
 
 
-class Ended(Enum):
-    """How a request ends at a modelled backend server."""
+class ExecutionResult(Enum):
+    """Result of a request at a modelled backend server."""
 
     DONE = "done"
     FAILED = "failed"
@@ -27,74 +27,74 @@
 
 
 class ModelledServer:
-    """Slots, a queue, slow moments, cold starts and troubles.
+    """A backend server with slots, a queue, slow periods, cold starts and disruptions.
 
-    The speed that holds when a request begins holds to its end.
+    The speed at the start of a request applies until its end.
 
     Parameters
     ----------
     traits : ServerTraits
-        How it works.
-    troubles : list of Disruption
-        What befalls it.
+        Capacity and speed.
+    disruptions : list of Disruption
+        Disruptions that affect it.
     randomness : random.Random
-        Draws work and slow moments.
+        Draws service times and slow periods.
     clock : Clock
-        Virtual.
+        Virtual clock.
     """
 
     def __init__(
         self,
         traits: ServerTraits,
-        troubles: list[Disruption],
+        disruptions: list[Disruption],
         randomness: random.Random,
         clock: Clock,
     ) -> None:
         self._traits = traits
-        self._disruptions = troubles
+        self._disruptions = disruptions
         self._randomness = randomness
         self._clock = clock
         self._slots = asyncio.Semaphore(traits.slots)
         self._waiting = 0
-        self._drawn_until = 0.0
-        self._slow = False
+        self._redraw_at = 0.0
+        self._is_slow = False
         self.running = 0
         self.runs = 0
 
     @property
     def slots(self) -> int:
-        """Return how many requests it runs at once."""
+        """Return the number of requests that it executes concurrently."""
         return self._traits.slots
 
     def slowdown(self) -> float:
-        """Return what a load report says at this moment."""
+        """Return the slowdown that a load report shows now."""
         now = self._clock.now()
-        while self._drawn_until <= now:
-            self._drawn_until += self._randomness.expovariate(1.0 / self._traits.slow_seconds)
-            self._slow = self._randomness.random() < self._traits.slow_share
+        while self._redraw_at <= now:
+            self._redraw_at += self._randomness.expovariate(1.0 / self._traits.slow_seconds)
+            self._is_slow = self._randomness.random() < self._traits.slow_share
         cold = self._traits.cold_factor if self._is_cold(now) else 1.0
-        return cold * (self._traits.slow_factor if self._slow else 1.0)
+        return cold * (self._traits.slow_factor if self._is_slow else 1.0)
 
     def is_up(self) -> bool:
-        """Return whether it answers."""
-        return self._under(DisruptionKind.RESTART) is None
+        """Return whether it is up, that is, not restarting."""
+        return self._active_disruption(DisruptionKind.RESTART) is None
 
     def is_gone(self) -> bool:
-        """Return whether it and its node are gone without a word."""
-        return self._under(DisruptionKind.GONE) is not None
+        """Return whether it and its node are down without notice."""
+        return self._active_disruption(DisruptionKind.GONE) is not None
 
     def silent_until(self) -> float:
-        """Return until when its node answers nothing; 0 if it does answer."""
-        silent = self._under(DisruptionKind.SILENT)
+        """Return the time until which its node is unresponsive; 0 if it responds."""
+        silent = self._active_disruption(DisruptionKind.SILENT)
         return silent.at + silent.lasts if silent is not None else 0.0
 
-    async def run(self, route: RouteTraits) -> Ended:
-        """Run a request."""
-        sheds = self._under(DisruptionKind.SHEDS)
+    async def run(self, route: RouteTraits) -> ExecutionResult:
+        """Queue and execute a request, or shed it."""
+        sheds = self._active_disruption(DisruptionKind.SHEDS)
         if sheds is not None and self._randomness.random() < sheds.strength:
-            return Ended.SHED
+            return ExecutionResult.SHED
         if self._waiting >= self._traits.queue:
-            return Ended.SHED
+            return ExecutionResult.SHED
         self._waiting += 1
         try:
             await self._slots.acquire()
@@ -102,43 +102,50 @@
             self._waiting -= 1
         self.running += 1
         try:
-            return await self._work(route)
+            return await self._execute(route)
         finally:
             self.running -= 1
             self._slots.release()
 
-    async def _work(self, route: RouteTraits) -> Ended:
+    async def _execute(self, route: RouteTraits) -> ExecutionResult:
         self.runs += 1
-        errors = self._under(DisruptionKind.ERRORS)
+        errors = self._active_disruption(DisruptionKind.ERRORS)
         if errors is not None and self._randomness.random() < errors.strength:
-            return Ended.FAILED
-        begun = self._clock.now()
-        work = self._randomness.lognormvariate(0.0, route.spread) * route.work
-        await asyncio.sleep(work * self._factor())
-        if any(begun < t.at <= self._clock.now() for t in self._of(DisruptionKind.RESTART)):
-            return Ended.LOST
-        return Ended.DONE
-
-    def _factor(self) -> float:
+            return ExecutionResult.FAILED
+        started_at = self._clock.now()
+        work_seconds = self._randomness.lognormvariate(0.0, route.spread) * route.work
+        await asyncio.sleep(work_seconds * self._slowdown_factor())
+        if any(
+            started_at < d.at <= self._clock.now()
+            for d in self._disruptions_of(DisruptionKind.RESTART)
+        ):
+            return ExecutionResult.LOST
+        return ExecutionResult.DONE
+
+    def _slowdown_factor(self) -> float:
         traits = self._traits
         factor = self.slowdown()
         if self.running > traits.knee * traits.slots:
             factor *= traits.knee_factor
-        degraded = self._under(DisruptionKind.DEGRADED)
+        degraded = self._active_disruption(DisruptionKind.DEGRADED)
         return factor if degraded is None else factor * degraded.strength
 
     def _is_cold(self, now: float) -> bool:
-        started = (
-            t.at + t.lasts for t in self._of(DisruptionKind.RESTART) if t.at + t.lasts <= now
+        restart_times = (
+            d.at + d.lasts
+            for d in self._disruptions_of(DisruptionKind.RESTART)
+            if d.at + d.lasts <= now
+        )
+        return (
+            now - max(restart_times, default=-self._traits.cold_seconds) < self._traits.cold_seconds
         )
-        return now - max(started, default=-self._traits.cold_seconds) < self._traits.cold_seconds
 
-    def _of(self, kind: DisruptionKind) -> list[Disruption]:
+    def _disruptions_of(self, kind: DisruptionKind) -> list[Disruption]:
         return [disruption for disruption in self._disruptions if disruption.kind is kind]
 
-    def _under(self, kind: DisruptionKind) -> Disruption | None:
+    def _active_disruption(self, kind: DisruptionKind) -> Disruption | None:
         now = self._clock.now()
-        for disruption in self._of(kind):
+        for disruption in self._disruptions_of(kind):
             if disruption.at <= now < disruption.at + disruption.lasts:
                 return disruption
         return None
--- a/src/hoisthook/experiment/modelled_system.py
+++ b/src/hoisthook/experiment/modelled_system.py
@@ -1,4 +1,4 @@
-"""Nodes, backend servers and callers of a load pattern, played on virtual time."""
+"""Simulation of the nodes, backend servers and callers of a load pattern on virtual time."""
 
 from __future__ import annotations
 
@@ -33,19 +33,19 @@
 
 
 DATA_CENTRES = 3
-# Callers that repeat at once do so after this.
-IMPATIENT_SECONDS = 0.01
+# Delay before a retry by callers that do not back off.
+IMMEDIATE_RETRY_SECONDS = 0.01
 
 
 class ModelledSystem:
-    """Plays one load pattern.
+    """Simulates one load pattern.
 
     Parameters
     ----------
     pattern : LoadPattern
-        What is played.
+        The load pattern.
     seed : int
-        Of all that is drawn.
+        Seed of all random numbers.
     """
 
     def __init__(self, pattern: LoadPattern, seed: int) -> None:
@@ -57,37 +57,37 @@
         self.node_by_id: dict[NodeId, ModelledNode] = {}
         self.results = LoadResults()
         self._calls_of_repeats: set[RequestId] = set()
-        self._starts_until: dict[NodeId, float] = {}
+        self._partial_view_until_by_node: dict[NodeId, float] = {}
 
     def play(self) -> LoadResults:
-        """Play the pattern; return what became of its requests."""
+        """Simulate the pattern and return the outcomes of its requests."""
         run_virtually(self._play())
         return self.results
 
     def draw(self) -> int:
-        """Return a seed."""
+        """Return a random seed."""
         return self._randomness.getrandbits(32)
 
     def draw_share(self) -> float:
-        """Return a number from 0 up to 1."""
+        """Return a random number from 0 to below 1."""
         return self._randomness.random()
 
-    def starts_until(self, node: ModelledNode) -> float:
-        """Return until when a node that has started anew knows its data centre only."""
-        return self._starts_until.get(node.peer.node, 0.0)
+    def partial_view_until(self, node: ModelledNode) -> float:
+        """Return the time until which a restarted node knows only peers of its data centre."""
+        return self._partial_view_until_by_node.get(node.peer.node, 0.0)
 
-    def arrived(self, call: RoutedCall) -> bool:
-        """Note that a call reaches a backend server; return whether its run is a repeat."""
+    def record_arrival(self, call: RoutedCall) -> bool:
+        """Record an arrival at a backend server; return whether its execution is a repeat."""
         by_repeat = call.request_id in self._calls_of_repeats
         now = self._clock.now()
         return self.results.arrivals.arrived(
             call.service, call.request_id, now, by_repeat=by_repeat
         )
 
-    async def ask(
+    async def send_request(
         self, ingress: ModelledNode, route: RouteTraits, time_left: float, *, by_repeat: bool
     ) -> Outcome:
-        """Send one request to a node as a caller beside it, or the backend server, does."""
+        """Send a request to a node, as a local caller or the local backend server does."""
         now = self._clock.now()
         self._requests += 1
         if by_repeat:
@@ -123,27 +123,27 @@
                 self._add_node(service.name, number)
         peers = [node.peer for node in self.node_by_id.values()]
         for node in self.node_by_id.values():
-            node.listed(peers)
+            node.add_peers(peers)
         async with asyncio.TaskGroup() as callers:
             for disruption in self._pattern.troubles:
                 if disruption.kind is DisruptionKind.NODE_STARTS:
-                    callers.create_task(self._start_nodes(disruption, peers))
+                    callers.create_task(self._restart_nodes(disruption, peers))
             for route in self._pattern.routes:
                 if route.per_second > 0:
-                    callers.create_task(self._arrivals(route, callers))
+                    callers.create_task(self._generate_requests(route, callers))
         for node in self.node_by_id.values():
             self.results.reads += node.reader.reads
             node.admitter.close()
             node.hop.close()
-        # Cancelled tasks end in the next turn of the loop.
+        # Cancelled tasks finish in the next iteration of the event loop.
         await asyncio.sleep(0)
 
     def _add_node(self, service: ServiceName, number: int) -> None:
         traits = next(s for s in self._pattern.services if s.name == service)
-        troubles = [
-            t for t in self._pattern.troubles if _disrupts(t, service, number, traits.servers)
+        disruptions = [
+            d for d in self._pattern.troubles if _disrupts(d, service, number, traits.servers)
         ]
-        server = ModelledServer(traits.traits, troubles, random.Random(self.draw()), self._clock)
+        server = ModelledServer(traits.traits, disruptions, random.Random(self.draw()), self._clock)
         peer = Peer(
             node=NodeId(f"{service}-{number}"),
             address=f"127.0.0.1:{10_000 + len(self.node_by_id)}",
@@ -152,70 +152,74 @@
         )
         self.node_by_id[peer.node] = ModelledNode(peer, server, self, self._clock)
 
-    async def _start_nodes(self, disruption: Disruption, peers: list[Peer]) -> None:
+    async def _restart_nodes(self, disruption: Disruption, peers: list[Peer]) -> None:
         await asyncio.sleep(disruption.at)
         nodes = list(self.node_by_id.values())
-        started = self._randomness.sample(nodes, round(disruption.share * len(nodes)))
-        for node in started:
-            self._starts_until[node.peer.node] = disruption.at + disruption.lasts
-            node.begin()
-            node.listed(peers)
+        restarted = self._randomness.sample(nodes, round(disruption.share * len(nodes)))
+        for node in restarted:
+            self._partial_view_until_by_node[node.peer.node] = disruption.at + disruption.lasts
+            node.restart()
+            node.add_peers(peers)
         await asyncio.sleep(disruption.lasts)
-        for node in started:
-            node.listed(peers)
+        for node in restarted:
+            node.add_peers(peers)
 
-    async def _arrivals(self, route: RouteTraits, callers: asyncio.TaskGroup) -> None:
+    async def _generate_requests(self, route: RouteTraits, callers: asyncio.TaskGroup) -> None:
         ingresses = list(self.node_by_id.values())
         while self._clock.now() < self._pattern.seconds:
             burst = self._strength(DisruptionKind.BURST, 1.0)
             await asyncio.sleep(self._randomness.expovariate(route.per_second * burst))
-            there = [ingress for ingress in ingresses if not ingress.server.is_gone()]
-            ingress = there[self._randomness.randrange(len(there))]
-            callers.create_task(self._caller(ingress, route))
-
-    async def _caller(self, ingress: ModelledNode, route: RouteTraits) -> None:
-        begun = self._clock.now()
-        storm = self._strength(DisruptionKind.RETRIES, 0.0)
-        retries = max(route.retries, int(storm))
-        outcome = await self._ask(ingress, route, route.timeout)
+            reachable = [ingress for ingress in ingresses if not ingress.server.is_gone()]
+            ingress = reachable[self._randomness.randrange(len(reachable))]
+            callers.create_task(self._run_caller(ingress, route))
+
+    async def _run_caller(self, ingress: ModelledNode, route: RouteTraits) -> None:
+        sent_at = self._clock.now()
+        retry_strength = self._strength(DisruptionKind.RETRIES, 0.0)
+        retries = max(route.retries, int(retry_strength))
+        outcome = await self._send_caller_request(ingress, route, route.timeout)
         while retries > 0 and _may_retry(outcome, route):
             retries -= 1
-            wait = outcome.retry_after if isinstance(outcome, Refused) else IMPATIENT_SECONDS
-            await asyncio.sleep(IMPATIENT_SECONDS if storm else wait)
-            left = route.timeout - (self._clock.now() - begun)
-            outcome = await self._ask(ingress, route, left)
-        self._count(route, begun, outcome)
-
-    async def _ask(self, ingress: ModelledNode, route: RouteTraits, time_left: float) -> Outcome:
+            backoff = (
+                outcome.retry_after if isinstance(outcome, Refused) else IMMEDIATE_RETRY_SECONDS
+            )
+            await asyncio.sleep(IMMEDIATE_RETRY_SECONDS if retry_strength else backoff)
+            time_left = route.timeout - (self._clock.now() - sent_at)
+            outcome = await self._send_caller_request(ingress, route, time_left)
+        self._count_outcome(route, sent_at, outcome)
+
+    async def _send_caller_request(
+        self, ingress: ModelledNode, route: RouteTraits, time_left: float
+    ) -> Outcome:
         self.results.arrivals.requested(route.service, self._clock.now())
-        return await self.ask(ingress, route, time_left, by_repeat=False)
+        return await self.send_request(ingress, route, time_left, by_repeat=False)
 
-    def _count(self, route: RouteTraits, begun: float, outcome: Outcome) -> None:
+    def _count_outcome(self, route: RouteTraits, sent_at: float, outcome: Outcome) -> None:
         results = self.results
-        took = self._clock.now() - begun
-        worth = 0.0
+        seconds = self._clock.now() - sent_at
+        value = 0.0
         if isinstance(outcome, CompleteAnswer) and outcome.status == SUCCESS:
-            in_time = took <= route.target
-            worth = route.worth if in_time else route.late_worth
+            in_time = seconds <= route.target
+            value = route.worth if in_time else route.late_worth
             results.in_time += in_time
             results.late += not in_time
-            results.seconds.append(took)
+            results.seconds.append(seconds)
         elif isinstance(outcome, Refused):
             results.refused += 1
         else:
             results.failed += 1
-        second = int(begun)
-        results.owed += route.worth
-        results.earned += worth
-        results.owed_by_second[second] = results.owed_by_second.get(second, 0.0) + route.worth
-        results.earned_by_second[second] = results.earned_by_second.get(second, 0.0) + worth
+        second = int(sent_at)
+        results.offered += route.worth
+        results.earned += value
+        results.offered_by_second[second] = results.offered_by_second.get(second, 0.0) + route.worth
+        results.earned_by_second[second] = results.earned_by_second.get(second, 0.0) + value
 
-    def _strength(self, kind: DisruptionKind, otherwise: float) -> float:
+    def _strength(self, kind: DisruptionKind, default: float) -> float:
         now = self._clock.now()
         for disruption in self._pattern.troubles:
             if disruption.kind is kind and disruption.at <= now < disruption.at + disruption.lasts:
                 return disruption.strength
-        return otherwise
+        return default
 
 
 def _disrupts(disruption: Disruption, service: ServiceName, number: int, servers: int) -> bool:
--- a/src/hoisthook/experiment/virtual_loop.py
+++ b/src/hoisthook/experiment/virtual_loop.py
@@ -1,4 +1,4 @@
-"""An event loop whose time jumps to the next timer, so that minutes are played in moments."""
+"""An event loop on virtual time: it advances to the next timer instead of waiting for it."""
 
 from __future__ import annotations
 
@@ -11,52 +11,52 @@
     from collections.abc import Mapping
 
 
-class _JumpingSelector(selectors.BaseSelector):
-    """Waits by moving the time on; no file is ever ready."""
+class _VirtualTimeSelector(selectors.BaseSelector):
+    """Advances the virtual time instead of waiting; no file object is ever ready."""
 
     def __init__(self) -> None:
         self.now = 0.0
 
     def register(self, fileobj: object, events: int, data: object = None) -> selectors.SelectorKey:
-        """Pass over a file; the loop registers only the pipe by which it is woken."""
+        """Ignore a file object; the event loop registers only its self-pipe."""
         return selectors.SelectorKey(0, 0, events, data)
 
     def unregister(self, fileobj: object) -> selectors.SelectorKey:
-        """Pass over a file."""
+        """Ignore a file object."""
         return selectors.SelectorKey(0, 0, 0, None)
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Move the time on.
+        """Advance the virtual time by the timeout.
 
         Raises
         ------
         RuntimeError
-            If nothing would ever happen again.
+            If no timer is scheduled, so that no task could ever proceed.
         """
         if timeout is None:
-            raise RuntimeError("all tasks wait for something that will not happen")
+            raise RuntimeError("deadlock on virtual time: all tasks wait and no timer is scheduled")
         self.now += max(0.0, timeout)
         return []
 
     def get_map(self) -> Mapping[object, selectors.SelectorKey]:  # type: ignore[override]
-        """Return no files."""
+        """Return an empty mapping."""
         return {}
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop on virtual time; sockets and signals do not work on it."""
+    """An event loop on virtual time, without support for sockets and signals."""
 
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._virtual_selector = _VirtualTimeSelector()
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
         """Return the virtual time in seconds."""
-        return self._jumping.now
+        return self._virtual_selector.now
 
 
 def run_virtually(main: Coroutine[object, object, None]) -> None:
-    """Run a coroutine to its end on virtual time."""
+    """Run a coroutine to completion on virtual time."""
     loop = VirtualLoop()
     try:
         loop.run_until_complete(main)
--- a/src/hoisthook/rpc/__init__.py
+++ b/src/hoisthook/rpc/__init__.py
@@ -1,3 +1,3 @@
-"""The operators' published schema and its generated code."""
+"""The published schema of the operators' RPC interface and the code generated from it."""
 
 from __future__ import annotations
--- a/src/hoisthook/rpc/spec_codec.py
+++ b/src/hoisthook/rpc/spec_codec.py
@@ -1,4 +1,4 @@
-"""Service specifications to and from the operators' messages."""
+"""Conversion of service specifications to and from messages of the operators' interface."""
 
 from __future__ import annotations
 
@@ -18,16 +18,18 @@
 
 
 def spec_from_message(message: pb.Service) -> ServiceSpec:
-    """Return the specification; fields left out get their defaults."""
+    """Return the specification of a message; absent fields get their defaults."""
     operations = tuple(
         OperationSpec(o.method, o.path_prefix, o.repeatable) for o in message.operations
     )
-    given = {name: getattr(message, name) for name in _OPTIONAL_FIELDS if message.HasField(name)}
-    return ServiceSpec(message.name, operations, **given)
+    present_fields = {
+        name: getattr(message, name) for name in _OPTIONAL_FIELDS if message.HasField(name)
+    }
+    return ServiceSpec(message.name, operations, **present_fields)
 
 
 def spec_to_message(spec: ServiceSpec) -> pb.Service:
-    """Return the message, every field set."""
+    """Return the message of a specification with every field set."""
     operations = [
         pb.Operation(method=o.method, path_prefix=o.path_prefix, repeatable=o.repeatable)
         for o in spec.operations
--- a/src/hoisthook/settings/mesh_settings.py
+++ b/src/hoisthook/settings/mesh_settings.py
@@ -6,20 +6,20 @@
 
 
 class MeshIdentitySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Who the node is.
+    """Identity and location of the node.
 
     Attributes
     ----------
     id : str
-        No other running node has it.
+        Unique among the running nodes.
     data_centre : str
-        Where it stands.
+        Data centre of the node.
     service : str
-        What the backend server beside it serves.
+        Service of the local backend server.
     first_start : bool
-        Whether all nodes start for the first time at this moment.
+        Whether all nodes are being started for the first time.
     link_mbps : float
-        How much the instance's link carries, in megabits a second; 0 if that is not known.
+        Bandwidth of the instance's link, in megabits per second; 0 if unknown.
     """
 
     id: str
@@ -30,12 +30,12 @@
 
 
 class MeshListenSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Where the node listens, ``host:port`` each.
+    """Listen addresses of the node, ``host:port`` each.
 
     Attributes
     ----------
     callers : str
-        For requests that begin on this instance.
+        For requests of callers on this instance.
     peers : str
         For other nodes.
     readiness : str
@@ -43,7 +43,7 @@
     announcements : str
         For the backend server's heartbeats.
     metrics : str
-        For counters and histograms; empty for nowhere.
+        For counters and histograms; empty to disable.
     """
 
     callers: str
@@ -54,14 +54,14 @@
 
 
 class BackendServerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The backend server beside the node.
+    """The local backend server.
 
     Attributes
     ----------
     address : str
-        Where it listens, ``host:port``.
+        Its listen address, ``host:port``.
     usable_share : float
-        Share of its slots that is used where it is seen to slow down when nearly full.
+        Share of its slots that is used if it is observed to slow down when nearly full.
     """
 
     address: str
@@ -69,23 +69,23 @@
 
 
 class StoreSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The platform's store.
+    """Address and topics of the platform's store.
 
     Attributes
     ----------
     address : str
         ``host:port``.
     configuration_topic : str
-        Topic in which operators publish.
+        Topic in which operators publish the configuration.
     configuration_key : str
-        Key under which they do.
+        Key of the configuration in that topic.
     evacuation_prefix : str
-        Keys of the same topic that begin so and go on with a data centre ask for its evacuation;
-        empty where there are none.
+        A record of the same topic whose key is this prefix and the name of a data centre requests
+        its evacuation; empty to disable.
     nodes_topic : str
-        Topic of the nodes' own records, of which the store keeps the newest of each key.
+        Topic of the nodes' records; the store retains the newest record of each key.
     readers_per_data_centre : int
-        Nodes that follow the configuration there by themselves; the others ask one of them.
+        Nodes per data centre that read the store directly; the other nodes poll one of them.
     """
 
     address: str
@@ -97,28 +97,28 @@
 
 
 class MeshShutdownSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How the node ends.
+    """Shutdown of the node.
 
     Attributes
     ----------
     grace_seconds : float
-        Time between the signal to stop and the one that kills.
+        Time from the stop signal until the process is killed.
     """
 
     grace_seconds: float = 6.0
 
 
 class MeshRetrySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The budget of extra tries that all nodes share.
+    """The retry budget of a service, shared by all nodes.
 
     Attributes
     ----------
     ratio : float
-        Extra tries per request of a service.
+        Extra attempts per request of the service.
     window_seconds : float
-        The window over which they are counted.
+        Length of the window in which they are counted.
     extra : float
-        Extra tries that all nodes together may make in a window besides.
+        Extra attempts per window that all nodes together may make in addition.
     """
 
     ratio: float = 0.2
@@ -127,38 +127,38 @@
 
 
 class MeshMeasureSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Reads of the backend server's load.
+    """Reads of the load endpoint of the backend server.
 
     Attributes
     ----------
     per_second : float
-        At most; a load that answers have told is not read again.
+        Upper limit; a load that responses have already reported is not read again.
     """
 
     per_second: float = 8.0
 
 
 class MeshRoutingSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the choice of a backend server weighs.
+    """Costs in the choice of a backend server.
 
     Attributes
     ----------
     data_centre_cost : float
-        What a request to another data centre costs, as a share of its target latency.
+        Cost of a request to another data centre, as a share of its target latency.
     """
 
     data_centre_cost: float = 0.25
 
 
 class MeshColdSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a cold backend server may get in any second, all nodes together.
+    """Limit of the requests per second, from all nodes together, to a cold backend server.
 
     Attributes
     ----------
     rate_factor : float
-        How many times the rate that operators state for its service; 0 for no bound.
+        Multiple of the rate that operators state for its service; 0 for no limit.
     extra : float
-        How many requests besides.
+        Requests per second that are allowed in addition.
     """
 
     rate_factor: float = 0.0
@@ -166,31 +166,31 @@
 
 
 class MeshKeySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What holds for teams' keys that are taken away.
+    """Revocation of teams' keys.
 
     Attributes
     ----------
     revocation_seconds : float
-        So long after the acknowledgement of a change no node takes a key that it took away,
-        whatever it can reach; 0 where a node that cannot know of a change goes on serving.
+        This long after a change that revokes a key has been acknowledged, no node accepts the key,
+        even if it is partitioned; 0 if a node that cannot learn of changes goes on serving.
     """
 
     revocation_seconds: float = 0.0
 
 
 class MeshTeamSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What holds for teams, all nodes together.
+    """Enforcement of the teams' quotas by all nodes together.
 
-    In any window a team gets no more than its quota allows for it, that share more, and the extra.
+    In any window a team gets at most its quota times one plus the share, and the extra requests.
 
     Attributes
     ----------
     quota_window_seconds : float
-        The window.
+        Length of the window.
     quota_over_share : float
-        By how much of its quota a team may exceed it.
+        Share of its quota by which a team may exceed it.
     quota_extra : float
-        Requests by which it may exceed it besides.
+        Requests per window that are allowed in addition.
     """
 
     quota_window_seconds: float = 5.0
@@ -204,9 +204,9 @@
     Attributes
     ----------
     decisions : bool
-        Whether each decision about a request gets a line; events always do.
+        Whether decisions about requests are logged; events always are.
     lines_per_second : int
-        Decisions written at most; those beyond are counted.
+        Upper limit of logged decisions; the remaining ones are only counted.
     """
 
     decisions: bool = True
@@ -214,7 +214,7 @@
 
 
 class MeshSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All settings of a node on the platform, one table each."""
+    """All settings of a node on the platform; each field is a TOML table."""
 
     node: MeshIdentitySettings
     listen: MeshListenSettings
--- a/src/hoisthook/settings/node_settings.py
+++ b/src/hoisthook/settings/node_settings.py
@@ -8,14 +8,14 @@
 
 
 class IdentitySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Who the node is.
+    """Identity and location of the node.
 
     Attributes
     ----------
     id : str
-        1 to 63 of ``a-z 0-9 -``; no other running node has it.
+        1 to 63 of ``a-z 0-9 -``; unique among the running nodes.
     data_centre : str
-        Name of the data centre it stands in.
+        Name of the data centre of the node.
     """
 
     id: str
@@ -23,7 +23,7 @@
 
 
 class ListenSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Where the node listens, ``host:port`` each; port 0 lets the system choose.
+    """Listen addresses of the node, ``host:port`` each; port 0 selects a free port.
 
     Attributes
     ----------
@@ -32,9 +32,9 @@
     peers : str
         For other nodes.
     announcements : str
-        For the backend server beside it.
+        For announcements of the local backend server.
     operators : str
-        For operators' remote procedure calls.
+        For the operators' RPC interface.
     """
 
     callers: str
@@ -51,9 +51,9 @@
     address : str
         ``host:port``.
     retention_seconds : float
-        For how long it keeps records, at least.
+        Minimum time for which it retains records.
     readers_per_data_centre : int
-        Nodes that read it by themselves; the others learn from peers.
+        Nodes per data centre that read it directly; the others receive its records from peers.
     """
 
     address: str
@@ -62,14 +62,14 @@
 
 
 class PeerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How the node meets others.
+    """Gossip with other nodes.
 
     Attributes
     ----------
     seeds : tuple of str
-        Peer addresses to begin with, ``host:port`` each.
+        Addresses of the first peers to contact, ``host:port`` each.
     interval_seconds : float
-        Time between two exchanges that the node starts.
+        Time between two gossip exchanges initiated by the node.
     """
 
     seeds: tuple[str, ...] = ()
@@ -77,14 +77,14 @@
 
 
 class RoutingSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How the node chooses and admits.
+    """Choice of a backend server and admission control.
 
     Attributes
     ----------
     policy : PolicyName
-        ``hoisthook``, or a baseline to compare with.
+        ``hoisthook``, or a baseline policy for comparison.
     admission : bool
-        False lets every request through to the backend server; for comparison only.
+        False admits every request to the backend server; for comparison only.
     """
 
     policy: PolicyName = PolicyName.HOISTHOOK
@@ -97,21 +97,21 @@
     Attributes
     ----------
     decisions : bool
-        Whether each routing and placement decision gets a line.
+        Whether routing and placement decisions are logged.
     """
 
     decisions: bool = True
 
 
 class MetricsSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Where metrics go.
+    """Reporting of metrics to StatsD.
 
     Attributes
     ----------
     statsd : str
-        ``host:port`` for UDP; empty for nowhere.
+        ``host:port`` for UDP; empty to disable.
     prefix : str
-        Put before each name.
+        Prefix of each metric name.
     interval_seconds : float
         Time between two reports.
     """
@@ -122,19 +122,19 @@
 
 
 class ShutdownSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How the node ends.
+    """Shutdown of the node.
 
     Attributes
     ----------
     drain_seconds : float
-        For how long requests in progress may go on.
+        Time limit for requests in progress.
     """
 
     drain_seconds: float = 30.0
 
 
 class NodeSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All settings of a node, one table each."""
+    """All settings of a node; each field is a TOML table."""
 
     node: IdentitySettings
     listen: ListenSettings
--- a/src/hoisthook/settings/settings_file.py
+++ b/src/hoisthook/settings/settings_file.py
@@ -1,4 +1,4 @@
-"""Reads and checks a settings file."""
+"""Reads and validates a settings file."""
 
 from __future__ import annotations
 
@@ -26,45 +26,45 @@
 
 
 def load_settings(path: Path) -> NodeSettings:
-    """Return the checked settings.
+    """Return the validated settings of a node.
 
     Raises
     ------
     SettingsError
-        With one line that names the file, the key and the rule.
+        If the file is unreadable or invalid; the one-line detail names the file, key and rule.
     """
     return _load(path, lambda text: check_settings(parse_settings(text)))
 
 
 def load_mesh_settings(path: Path) -> MeshSettings:
-    """Return the checked settings of a node on the platform.
+    """Return the validated settings of a node on the platform.
 
     Raises
     ------
     SettingsError
-        With one line that names the file, the key and the rule.
+        If the file is unreadable or invalid; the one-line detail names the file, key and rule.
     """
     return _load(path, lambda text: check_mesh_settings(_parse(text, MeshSettings)))
 
 
 def load_model(path: Path, model: type[Settings]) -> Settings:
-    """Return a TOML file as a model, its types checked.
+    """Return a TOML file converted to a model; only the types are validated.
 
     Raises
     ------
     SettingsError
-        With one line that names the file, the key and the rule.
+        If the file is unreadable or invalid; the one-line detail names the file, key and rule.
     """
     return _load(path, lambda text: _parse(text, model))
 
 
 def parse_settings(text: str) -> NodeSettings:
-    """Return the settings in ``text``, their types checked.
+    """Return the settings in ``text``; only the types are validated.
 
     Raises
     ------
     SettingsError
-        If the text is not TOML or does not fit the model.
+        If the text is not valid TOML or does not match the model.
     """
     return _parse(text, NodeSettings)
 
@@ -92,12 +92,12 @@
 
 
 def check_mesh_settings(settings: MeshSettings) -> MeshSettings:
-    """Return the settings if every value keeps its rule.
+    """Return the settings if every value is valid.
 
     Raises
     ------
     SettingsError
-        For the first that does not.
+        For the first invalid value.
     """
     for problem in _mesh_problems(settings):
         raise SettingsError(ResultCode.SETTINGS_VALUE, problem)
@@ -105,12 +105,12 @@
 
 
 def check_settings(settings: NodeSettings) -> NodeSettings:
-    """Return the settings if every value keeps its rule.
+    """Return the settings if every value is valid.
 
     Raises
     ------
     SettingsError
-        For the first that does not.
+        For the first invalid value.
     """
     for problem in _problems(settings):
         raise SettingsError(ResultCode.SETTINGS_VALUE, problem)
@@ -120,7 +120,7 @@
 def _problems(settings: NodeSettings) -> Iterator[str]:
     for key, name in _names(settings):
         if not is_name(name):
-            yield f"{key}: {name!r} is not 1 to 63 of a-z 0-9 -"
+            yield f"{key}: {name!r} is not 1 to 63 characters of a-z, 0-9 and -"
     for key, address in _addresses(settings):
         yield from _address_problems(key, address)
     yield from _number_problems(settings)
@@ -129,7 +129,7 @@
 def _mesh_problems(settings: MeshSettings) -> Iterator[str]:
     for key in ("id", "data_centre", "service"):
         if not getattr(settings.node, key) or " " in getattr(settings.node, key):
-            yield f"node.{key}: empty, or with a space in it"
+            yield f"node.{key}: must not be empty or contain spaces"
     listen = settings.listen
     for key, address in (
         ("listen.callers", listen.callers),
@@ -160,7 +160,7 @@
         ("logging.lines_per_second", settings.logging.lines_per_second, 0, 1_000_000),
     ):
         if not low <= value <= high:
-            yield f"{key}: not within {low:g} to {high:g}"
+            yield f"{key}: must be within {low:g} to {high:g}"
 
 
 def _address_problems(key: str, address: str) -> Iterator[str]:
@@ -181,23 +181,23 @@
     yield "listen.announcements", settings.listen.announcements
     yield "listen.operators", settings.listen.operators
     yield "log.address", settings.log.address
-    for number, seed in enumerate(settings.peers.seeds):
-        yield f"peers.seeds[{number}]", seed
+    for index, seed in enumerate(settings.peers.seeds):
+        yield f"peers.seeds[{index}]", seed
     if settings.metrics.statsd:
         yield "metrics.statsd", settings.metrics.statsd
 
 
 def _number_problems(settings: NodeSettings) -> Iterator[str]:
     if not settings.log.retention_seconds >= 1.0:
-        yield "log.retention_seconds: less than 1"
+        yield "log.retention_seconds: must be at least 1"
     if not 1 <= settings.log.readers_per_data_centre <= 100:
-        yield "log.readers_per_data_centre: not within 1 to 100"
+        yield "log.readers_per_data_centre: must be within 1 to 100"
     if not 0.05 <= settings.peers.interval_seconds <= 5.0:
-        yield "peers.interval_seconds: not within 0.05 to 5"
+        yield "peers.interval_seconds: must be within 0.05 to 5"
     if not 0.1 <= settings.metrics.interval_seconds <= 300.0:
-        yield "metrics.interval_seconds: not within 0.1 to 300"
+        yield "metrics.interval_seconds: must be within 0.1 to 300"
     if not 0.0 <= settings.shutdown.drain_seconds <= MAX_DRAIN_SECONDS:
-        yield f"shutdown.drain_seconds: not within 0 to {MAX_DRAIN_SECONDS:.0f}"
+        yield f"shutdown.drain_seconds: must be within 0 to {MAX_DRAIN_SECONDS:.0f}"
 
 
 def _one_line(error: Exception) -> str:
--- a/standin/quota_fleet.py
+++ b/standin/quota_fleet.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from hoisthook.experiment.modelled_node import NoLog
+from hoisthook.experiment.modelled_node import NullEventSink
 from hoisthook.experiment.virtual_loop import run_virtually
 from hoisthook.identity import Address
 from hoisthook.identity import DataCentre
@@ -80,7 +80,7 @@
         self.quota_coordinator = self._new_quota_coordinator()
 
     def _new_quota_coordinator(self) -> QuotaCoordinator:
-        return QuotaCoordinator(BOUNDS, self.place.data_centre, self, LoopTime(), NoLog())
+        return QuotaCoordinator(BOUNDS, self.place.data_centre, self, LoopTime(), NullEventSink())
 
     def start_again(self) -> None:
         """Start knowing nothing of before."""
--- a/tests/console/test_application.py
+++ b/tests/console/test_application.py
@@ -26,14 +26,16 @@
     assert "service Operator" in capsys.readouterr().out
 
 
-def test_operators_call_that_reaches_nobody_is_numbered(
+def test_operator_call_to_an_unreachable_node_is_a_numbered_error(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     assert run(["status", "--node", "127.0.0.1:1"]) == 2
     assert capsys.readouterr().err.startswith("5006 OPERATOR_CALL_FAILED")
 
 
-def test_bad_service_file_is_numbered(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_bad_service_file_is_a_numbered_error(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     path = tmp_path / "service.toml"
     path.write_text('name = "svc"\ntimeout_ms = 0\n')
     assert run(["put-service", "--node", "127.0.0.1:1", str(path)]) == 2
--- a/tests/console/test_experiment.py
+++ b/tests/console/test_experiment.py
@@ -10,7 +10,7 @@
 PATTERNS = sorted((ROOT / "benchmark" / "patterns").glob("*.toml"))
 
 
-def test_table_has_a_row_a_seed(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_table_has_one_row_per_seed(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     path = tmp_path / "short.toml"
     path.write_text((ROOT / "benchmark/patterns/quiet.toml").read_text().replace("12.0", "1.0"))
     assert run(["experiment", "--seeds", "2", str(path)]) == 0
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "told"),
+    ("old", "new", "expected_text"),
     [
         ("seconds = 12.0", "seconds = 0.0", "5004"),
         ('service = "pass"', 'service = "nowhere"', "nowhere"),
@@ -37,11 +37,11 @@
     ],
 )
 def test_bad_pattern_is_a_numbered_error(
-    old: str, new: str, told: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+    old: str, new: str, expected_text: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "bad.toml"
     path.write_text((ROOT / "benchmark/patterns/quiet.toml").read_text().replace(old, new))
     assert run(["experiment", str(path)]) == 2
     error = capsys.readouterr().err
-    assert told in error
+    assert expected_text in error
     assert error.split()[0].isdigit()
--- a/tests/console/test_explain.py
+++ b/tests/console/test_explain.py
@@ -29,37 +29,37 @@
 ]
 
 
-def written(folder: Path) -> str:
+def write_log(folder: Path) -> str:
     path = folder / "node.log"
     text = "".join(json.dumps(line, separators=(",", ":")) + "\n" for line in LINES)
     path.write_text("another program's output\n" + text + '{"time":broken\n')
     return str(path)
 
 
-def test_story_is_in_order_of_time_with_beliefs_their_age_and_the_codes_name(
+def test_timeline_is_chronological_with_prior_events_their_age_and_code_names(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    assert run(["explain", "--request", "a", written(tmp_path)]) == 0
-    told = capsys.readouterr().out.splitlines()
-    assert told[0].endswith("n-2 store_lost (1.000 s before) reason=silent")
-    assert [line.split()[2] for line in told[1:]] == ["answered", "not_admitted", "answered"]
-    assert "code=2006 SLOTS_FULL" in told[-1]
-    assert told[-1].lstrip().startswith("+20.0ms n-1")
-    assert len(told) == 4
+    assert run(["explain", "--request", "a", write_log(tmp_path)]) == 0
+    timeline = capsys.readouterr().out.splitlines()
+    assert timeline[0].endswith("n-2 store_lost (1.000 s before) reason=silent")
+    assert [line.split()[2] for line in timeline[1:]] == ["answered", "not_admitted", "answered"]
+    assert "code=2006 SLOTS_FULL" in timeline[-1]
+    assert timeline[-1].lstrip().startswith("+20.0ms n-1")
+    assert len(timeline) == 4
 
 
-def test_request_that_no_line_names_has_status_one(tmp_path: Path) -> None:
-    assert run(["explain", "--request", "zzz", written(tmp_path)]) == 1
+def test_unknown_request_has_exit_status_one(tmp_path: Path) -> None:
+    assert run(["explain", "--request", "zzz", write_log(tmp_path)]) == 1
 
 
 def test_summary_counts_failures_by_code_service_and_node(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    assert run(["explain", written(tmp_path)]) == 0
+    assert run(["explain", write_log(tmp_path)]) == 0
     assert capsys.readouterr().out.strip() == "1 2006 SLOTS_FULL service s at n-1"
 
 
-def test_file_that_cannot_be_read_is_numbered(
+def test_unreadable_file_is_a_numbered_error(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert run(["explain", str(tmp_path / "none")]) == 2
--- a/tests/docs/test_faults_page.py
+++ b/tests/docs/test_faults_page.py
@@ -5,22 +5,22 @@
 
 ROOT = Path(__file__).parent.parent.parent
 PAGES = ("docs/FAULTS.md", "docs/PROOFS.md")
-NAMED = re.compile(r"`(test_\w+)")
-DEFINED = re.compile(r"def (test_\w+)\(")
-MODULE = re.compile(r"\| `([\w/]+\.py)`(?:, `([\w/]+\.py)`)? \|")
+TEST_REFERENCE = re.compile(r"`(test_\w+)")
+TEST_DEFINITION = re.compile(r"def (test_\w+)\(")
+MODULE_REFERENCE = re.compile(r"\| `([\w/]+\.py)`(?:, `([\w/]+\.py)`)? \|")
 
 
-def test_every_test_that_a_page_names_exists() -> None:
-    defined = set()
+def test_every_test_named_on_a_page_exists() -> None:
+    defined_tests = set()
     for path in (ROOT / "tests").rglob("test_*.py"):
-        defined.update(DEFINED.findall(path.read_text()))
+        defined_tests.update(TEST_DEFINITION.findall(path.read_text()))
     for page in PAGES:
-        named = set(NAMED.findall((ROOT / page).read_text()))
-        assert named - defined == set(), page
+        referenced_tests = set(TEST_REFERENCE.findall((ROOT / page).read_text()))
+        assert referenced_tests - defined_tests == set(), page
 
 
-def test_every_module_that_the_faults_page_names_exists() -> None:
-    rows = MODULE.findall((ROOT / "docs" / "FAULTS.md").read_text())
+def test_every_module_named_on_the_faults_page_exists() -> None:
+    rows = MODULE_REFERENCE.findall((ROOT / "docs" / "FAULTS.md").read_text())
     names = {name for row in rows for name in row if name}
     assert names
     missing = {
--- a/tests/docs/test_logs_page.py
+++ b/tests/docs/test_logs_page.py
@@ -4,9 +4,9 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent.parent
-WRITTEN = re.compile(r"\.(?:event|decision)\(\s*\"(\w+)\"")
-NAMED = re.compile(r"^\| ((?:`\w+`(?:, )?)+) \|", re.MULTILINE)
-SOURCES = (
+LOG_CALL = re.compile(r"\.(?:event|decision)\(\s*\"(\w+)\"")
+EVENT_ROW = re.compile(r"^\| ((?:`\w+`(?:, )?)+) \|", re.MULTILINE)
+SOURCE_FOLDERS = (
     "src/hoisthook/local_backend",
     "src/hoisthook/membership",
     "src/hoisthook/mesh",
@@ -15,7 +15,7 @@
     "src/hoisthook/traffic",
     "platform/hoisthook_platform",
 )
-ADAPTERS = (
+ADAPTER_FILES = (
     "src/hoisthook/adapter/json_event_log.py",
     "src/hoisthook/adapter/logged_store.py",
     "src/hoisthook/adapter/loop_errors.py",
@@ -23,10 +23,10 @@
 )
 
 
-def test_logs_page_names_every_line_that_the_program_writes_and_no_other() -> None:
-    files = [path for folder in SOURCES for path in (ROOT / folder).glob("*.py")]
-    files += [ROOT / name for name in ADAPTERS]
-    written = {name for path in files for name in WRITTEN.findall(path.read_text())}
-    rows = NAMED.findall((ROOT / "docs" / "LOGS.md").read_text())
-    named = {name for row in rows for name in re.findall(r"`(\w+)`", row)}
-    assert named == written
+def test_logs_page_documents_exactly_the_events_that_are_logged() -> None:
+    files = [path for folder in SOURCE_FOLDERS for path in (ROOT / folder).glob("*.py")]
+    files += [ROOT / name for name in ADAPTER_FILES]
+    logged_events = {name for path in files for name in LOG_CALL.findall(path.read_text())}
+    rows = EVENT_ROW.findall((ROOT / "docs" / "LOGS.md").read_text())
+    documented_events = {name for row in rows for name in re.findall(r"`(\w+)`", row)}
+    assert documented_events == logged_events
--- a/tests/docs/test_pages.py
+++ b/tests/docs/test_pages.py
@@ -1,4 +1,4 @@
-"""The pages that can be checked against the program are."""
+"""Checks the documentation against the settings, result codes and links that it describes."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 ROW = re.compile(r"^\| `([a-z_.]+)` \|[^|]*\|[^|]*\|([^|]*)\|", re.MULTILINE)
 
 
-def rows_of(page: str) -> dict[str, str]:
-    """Return the default stated for each key."""
+def documented_defaults(page: str) -> dict[str, str]:
+    """Return the documented default of each key."""
     return {key: default.strip().strip("`") for key, default in ROW.findall(page)}
 
 
-def stated(default: object) -> str:
+def format_default(default: object) -> str:
     if default is msgspec.NODEFAULT:
         return "required"
     if isinstance(default, bool):
@@ -37,30 +37,32 @@
     return str(getattr(default, "value", default))
 
 
-def keys_of(settings: type[msgspec.Struct]) -> dict[str, str]:
+def defaults_by_key(settings: type[msgspec.Struct]) -> dict[str, str]:
     defaults = {}
     for table in msgspec.structs.fields(settings):
         for field in msgspec.structs.fields(table.type):
-            defaults[f"{table.name}.{field.name}"] = stated(field.default)
+            defaults[f"{table.name}.{field.name}"] = format_default(field.default)
     return defaults
 
 
-def model() -> dict[str, str]:
-    defaults = keys_of(NodeSettings)
+def node_defaults() -> dict[str, str]:
+    defaults = defaults_by_key(NodeSettings)
     for field in msgspec.structs.fields(ServiceSpec):
-        defaults[field.name] = stated(field.default)
+        defaults[field.name] = format_default(field.default)
     return defaults
 
 
 def test_configuration_page_states_each_key_and_default() -> None:
-    assert rows_of((DOCS / "CONFIGURATION.md").read_text()) == model()
+    assert documented_defaults((DOCS / "CONFIGURATION.md").read_text()) == node_defaults()
 
 
 def test_platform_settings_page_states_each_key_and_default() -> None:
-    assert rows_of((DOCS / "PLATFORM_SETTINGS.md").read_text()) == keys_of(MeshSettings)
+    assert documented_defaults((DOCS / "PLATFORM_SETTINGS.md").read_text()) == defaults_by_key(
+        MeshSettings
+    )
 
 
-def test_result_codes_page_is_the_programs_own_table() -> None:
+def test_result_codes_page_contains_the_generated_table() -> None:
     assert "\n".join(table_lines()) in (DOCS / "RESULT_CODES.md").read_text()
 
 
@@ -69,6 +71,6 @@
 
 
 @pytest.mark.parametrize("page", sorted(DOCS.rglob("*.md")), ids=lambda path: path.name)
-def test_links_between_pages_lead_somewhere(page: Path) -> None:
+def test_links_between_pages_resolve(page: Path) -> None:
     for target in re.findall(r"\]\(([^)#:]+)(?:#[^)]*)?\)", page.read_text()):
         assert (page.parent / target).exists(), target
--- a/tests/experiment/test_repeats_in_vain.py
+++ b/tests/experiment/test_repeats_in_vain.py
@@ -1,4 +1,4 @@
-"""A service that turns away half of its work and whose budget of repeats is spent."""
+"""Repeats of a service that sheds half of its requests and has exhausted its repeat budget."""
 
 from __future__ import annotations
 
@@ -26,27 +26,30 @@
 SEEDS = (1, 2)
 
 
-def test_repeats_ask_few_nodes_where_hardly_any_has_room(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against requests that ask all nodes in turn for what none has left."""
-    asked: list[RoutedCall] = []
-    run = modelled_hop.ModelledHop.run
+def test_repeats_try_few_nodes_where_most_have_no_capacity(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against repeats that try all nodes in turn when no node has capacity left."""
+    sent_repeats: list[RoutedCall] = []
+    original_run = modelled_hop.ModelledHop.run
 
-    async def count(
+    async def count_repeats(
         hop: ModelledHop, view: PeerView, call: RoutedCall, admission: Admission
     ) -> Outcome | PendingOutcome:
         if call.arrival.is_repeat:
-            asked.append(call)
-        return await run(hop, view, call, admission)
+            sent_repeats.append(call)
+        return await original_run(hop, view, call, admission)
 
-    monkeypatch.setattr(modelled_hop.ModelledHop, "run", count)
+    monkeypatch.setattr(modelled_hop.ModelledHop, "run", count_repeats)
     load = pattern(Disruption(DisruptionKind.SHEDS, 2.0, 12.0, strength=0.55, service=DESK))
 
     def play() -> tuple[list[LoadResults], int]:
-        asked.clear()
-        return [ModelledSystem(load, seed).play() for seed in SEEDS], len(asked)
+        sent_repeats.clear()
+        return [ModelledSystem(load, seed).play() for seed in SEEDS], len(sent_repeats)
 
-    few, few_asked = play()
+    with_limit, repeats_with_limit = play()
     monkeypatch.setattr(admission_rate, "MIN_SHARE", 0.0)
-    all_nodes, all_asked = play()
-    assert few_asked < 0.75 * all_asked
-    assert sum(t.share for t in few) > sum(t.share for t in all_nodes) - 0.02
+    without_limit, repeats_without_limit = play()
+    assert repeats_with_limit < 0.75 * repeats_without_limit
+    assert (
+        sum(results.share for results in with_limit)
+        > sum(results.share for results in without_limit) - 0.02
+    )
--- a/tests/experiment/test_replays.py
+++ b/tests/experiment/test_replays.py
@@ -1,4 +1,4 @@
-"""Loads that a mechanism answers, replayed on virtual time with it and without it."""
+"""Load patterns simulated with and without the mechanism that handles them."""
 
 from __future__ import annotations
 
@@ -32,17 +32,17 @@
 
 SHOP = ServiceName("shop")
 SEEDS = (1, 2, 3)
-# Where one server of four is at fault, the outcome varies more.
+# Results vary more between seeds if one server of four is faulty.
 MANY_SEEDS = range(1, 9)
 
 
-def pattern(*troubles: Disruption, per_second: float, work: float = 0.2) -> LoadPattern:
+def pattern(*disruptions: Disruption, per_second: float, work: float = 0.2) -> LoadPattern:
     services = [ServiceTraits(SHOP, 4)]
     route = RouteTraits(RouteName("r"), SHOP, per_second, work, 2.7 * work, 6.0 * work)
-    return LoadPattern("test", 10.0, services, [route], list(troubles))
+    return LoadPattern("test", 10.0, services, [route], list(disruptions))
 
 
-def played(load: LoadPattern, seeds: Iterable[int] = SEEDS) -> list[LoadResults]:
+def simulate(load: LoadPattern, seeds: Iterable[int] = SEEDS) -> list[LoadResults]:
     return [ModelledSystem(load, seed).play() for seed in seeds]
 
 
@@ -54,139 +54,144 @@
     return sum(results.share for results in results_by_seed) / len(results_by_seed)
 
 
-def test_a_seed_is_played_the_same_each_time() -> None:
+def test_same_seed_gives_the_same_results() -> None:
     load = pattern(per_second=60.0)
     first, second = (ModelledSystem(load, 7).play() for _ in range(2))
     assert first == second
     assert first.requests > 400
 
 
-def test_virtual_time_ends_where_nothing_will_happen() -> None:
-    async def wait_for_ever() -> None:
+def test_virtual_loop_raises_if_no_timer_is_scheduled() -> None:
+    async def wait_forever() -> None:
         await asyncio.Event().wait()
 
-    with pytest.raises(RuntimeError, match="will not happen"):
-        run_virtually(wait_for_ever())
+    with pytest.raises(RuntimeError, match="no timer is scheduled"):
+        run_virtually(wait_forever())
 
 
-def test_slow_moments_are_known_before_work_starts_in_them(
+def test_slow_periods_are_detected_before_requests_start_in_them(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     load = pattern(per_second=80.0)
-    informed = played(load)
+    with_detection = simulate(load)
     monkeypatch.setattr(admission_policy, "MAX_BLIND_CHANCE", 1.0)
-    blind = played(load)
-    assert share(informed) > share(blind) + 0.02
-    assert sum(t.late for t in informed) < sum(t.late for t in blind) / 2
+    without_detection = simulate(load)
+    assert share(with_detection) > share(without_detection) + 0.02
+    assert (
+        sum(results.late for results in with_detection)
+        < sum(results.late for results in without_detection) / 2
+    )
 
 
 def test_load_is_read_only_where_a_read_can_change_what_is_decided() -> None:
-    tight = played(pattern(per_second=80.0))
+    tight = simulate(pattern(per_second=80.0))
     loose_route = RouteTraits(RouteName("r"), SHOP, 80.0, 0.02, 0.6, 1.2)
     load = LoadPattern("loose", 10.0, [ServiceTraits(SHOP, 4)], [loose_route])
-    assert sum(t.reads for t in played(load)) < 0.05 * sum(t.reads for t in tight)
+    assert sum(results.reads for results in simulate(load)) < 0.05 * sum(
+        results.reads for results in tight
+    )
 
 
-def test_slow_moments_are_waited_out_where_that_ends_sooner(
+def test_slow_periods_are_waited_out_where_that_finishes_sooner(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     load = pattern(per_second=160.0)
-    waiting = played(load)
+    waiting = simulate(load)
     monkeypatch.setattr(ServerSpeed, "is_worth_holding", lambda *_: False)
-    starting = played(load)
+    starting = simulate(load)
     assert share(waiting) > share(starting) + 0.01
 
 
-def test_server_that_slows_down_unreported_is_known_by_its_pace(
+def test_unreported_slowdown_is_detected_by_the_speed_ratio(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     load = pattern(
         Disruption(DisruptionKind.DEGRADED, 2.0, 6.0, strength=3.0, share=0.25), per_second=60.0
     )
-    knowing = played(load, MANY_SEEDS)
+    with_speed_ratio = simulate(load, MANY_SEEDS)
     monkeypatch.setattr(ServerSpeed, "pace", lambda *_: 1.0)
-    ignorant = played(load, MANY_SEEDS)
-    assert share(knowing) > share(ignorant) + 0.01
-    assert not_in_time(knowing) < 0.75 * not_in_time(ignorant)
+    without_speed_ratio = simulate(load, MANY_SEEDS)
+    assert share(with_speed_ratio) > share(without_speed_ratio) + 0.01
+    assert not_in_time(with_speed_ratio) < 0.75 * not_in_time(without_speed_ratio)
 
 
-def test_server_that_all_but_stops_is_found_by_its_overdue_work(
+def test_stalled_server_is_detected_by_its_overdue_requests(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     load = pattern(
         Disruption(DisruptionKind.DEGRADED, 2.0, 6.0, strength=12.0, share=0.25), per_second=60.0
     )
-    finding = played(load, MANY_SEEDS)
+    with_stall_detection = simulate(load, MANY_SEEDS)
     monkeypatch.setattr(priority_gate, "MIN_STALLED", 1_000_000)
-    waiting = played(load, MANY_SEEDS)
-    assert not_in_time(finding) < 0.9 * not_in_time(waiting)
+    without_stall_detection = simulate(load, MANY_SEEDS)
+    assert not_in_time(with_stall_detection) < 0.9 * not_in_time(without_stall_detection)
 
 
 def test_restart_of_all_is_over_within_the_time_that_servers_are_cold() -> None:
     load = pattern(Disruption(DisruptionKind.RESTART, 2.0, 0.8), per_second=100.0)
-    for results in played(load):
-        after = range(7, 10)
-        owed = sum(results.owed_by_second[second] for second in after)
-        earned = sum(results.earned_by_second[second] for second in after)
-        assert earned > 0.9 * owed
+    for results in simulate(load):
+        later_seconds = range(7, 10)
+        offered = sum(results.offered_by_second[second] for second in later_seconds)
+        earned = sum(results.earned_by_second[second] for second in later_seconds)
+        assert earned > 0.9 * offered
 
 
 def test_late_requests_yield_in_a_lasting_overload(monkeypatch: pytest.MonkeyPatch) -> None:
     load = pattern(per_second=240.0)
-    yielding = played(load)
+    yielding = simulate(load)
     monkeypatch.setattr(Pressure, "yields", lambda *_: False)
-    keeping = played(load)
+    keeping = simulate(load)
     assert share(yielding) > share(keeping) + 0.03
 
 
-def test_burst_is_served_or_refused_and_nobody_is_left_to_the_deadline() -> None:
+def test_burst_is_served_or_refused_and_few_requests_reach_their_deadline() -> None:
     load = pattern(Disruption(DisruptionKind.BURST, 2.0, 3.0, strength=4.0), per_second=100.0)
-    for results in played(load):
+    for results in simulate(load):
         assert results.refused > 0
         assert results.failed < 0.02 * results.requests
         assert results.in_time > 0.5 * results.requests
 
 
-def forgets_suspicion(view: PeerView, now: float) -> float:
-    """Leave the peer alone for a while, then send it requests again."""
+def back_off_without_suspicion(view: PeerView, now: float) -> float:
+    """Close the peer for its backoff, then let requests try it again, without suspecting it."""
     seconds = view._backoff
     view.closed_until = now + seconds
     view._backoff = min(MAX_BACKOFF_SECONDS, seconds * 2)
     return seconds
 
 
-def test_requests_do_not_find_out_which_nodes_are_gone(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Six of twenty instances are gone for good, as when a data centre lost power."""
+def test_requests_are_not_used_to_probe_failed_nodes(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against requests that time out at dead nodes: six of twenty instances stay down."""
     services = [ServiceTraits(SHOP, 20)]
     route = RouteTraits(RouteName("r"), SHOP, 150.0, 0.1, 0.25, 1.0)
     gone = Disruption(DisruptionKind.GONE, 2.0, 60.0, share=0.3)
     load = LoadPattern("test", 20.0, services, [route], [gone])
-    suspecting = played(load)
-    monkeypatch.setattr(PeerView, "unreachable", forgets_suspicion)
-    trying = played(load)
-    assert share(suspecting) > share(trying) + 0.005
-    assert not_in_time(suspecting) < not_in_time(trying) * 0.6
+    with_suspicion = simulate(load)
+    monkeypatch.setattr(PeerView, "unreachable", back_off_without_suspicion)
+    without_suspicion = simulate(load)
+    assert share(with_suspicion) > share(without_suspicion) + 0.005
+    assert not_in_time(with_suspicion) < not_in_time(without_suspicion) * 0.6
 
 
-def test_nodes_that_are_back_get_work_again() -> None:
+def test_recovered_nodes_get_requests_again() -> None:
     services = [ServiceTraits(SHOP, 4)]
     route = RouteTraits(RouteName("r"), SHOP, 60.0, 0.1, 0.4, 1.0)
     gone = Disruption(DisruptionKind.GONE, 1.0, 2.0, share=0.5)
     system = ModelledSystem(LoadPattern("test", 12.0, services, [route], [gone]), 1)
     results = system.play()
-    late = [second for second in results.owed_by_second if second >= 8]
-    earned = sum(results.earned_by_second[second] for second in late)
-    assert earned > 0.97 * sum(results.owed_by_second[second] for second in late)
+    late_seconds = [second for second in results.offered_by_second if second >= 8]
+    earned = sum(results.earned_by_second[second] for second in late_seconds)
+    assert earned > 0.97 * sum(results.offered_by_second[second] for second in late_seconds)
     views = [view for node in system.node_by_id.values() for view in node.directory.views()]
     assert not any(view.suspected for view in views)
 
 
-def test_more_near_nodes_are_asked_before_a_request_waits(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Twelve near servers of five slots, of which every second turns a try away."""
+def test_more_near_nodes_are_tried_before_a_request_waits(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against waiting too early: of twelve near servers, every second rejects an attempt."""
     traits = ServerTraits(slots=5, queue=18, slow_factor=4.0, slow_seconds=0.3)
     route = RouteTraits(RouteName("r"), SHOP, 240.0, 0.25, 0.6, 1.5)
     load = LoadPattern("test", 10.0, [ServiceTraits(SHOP, 36, traits)], [route], [])
-    many = played(load)
+    many = simulate(load)
     monkeypatch.setattr(routed_dispatcher, "MAX_NEAR_TRIES", routed_dispatcher.MAX_DIRECT_TRIES)
-    few = played(load)
+    few = simulate(load)
     assert not_in_time(many) < 0.8 * not_in_time(few)
--- a/tests/rpc/test_schema.py
+++ b/tests/rpc/test_schema.py
@@ -17,10 +17,10 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-GENERATED = ("operator_pb2.py", "operator_grpc.py")
+GENERATED_FILES = ("operator_pb2.py", "operator_grpc.py")
 
 
-@pytest.mark.parametrize("name", GENERATED)
+@pytest.mark.parametrize("name", GENERATED_FILES)
 def test_committed_code_matches_the_schema(tmp_path: Path, name: str) -> None:
     assert generate(tmp_path) == 0
     committed = ast.dump(ast.parse((PACKAGE / name).read_text()))
@@ -43,5 +43,5 @@
         st.floats(0, 10),
     )
 )
-def test_specification_survives_the_message(spec: ServiceSpec) -> None:
+def test_specification_round_trips_through_the_message(spec: ServiceSpec) -> None:
     assert spec_from_message(spec_to_message(spec)) == spec
--- a/tests/settings/test_mesh_settings.py
+++ b/tests/settings/test_mesh_settings.py
@@ -32,9 +32,9 @@
 SECTION = re.compile(r"{{#([^}]+)}}\n?(.*?){{/\1}}\n?", re.DOTALL)
 
 
-def filled(more: dict[str, str] | None = None) -> str:
-    """Return the settings as the platform fills the template."""
-    values = {**VALUES, **(more or {})}
+def render_template(extra_values: dict[str, str] | None = None) -> str:
+    """Return the settings template rendered as the platform does."""
+    values = {**VALUES, **(extra_values or {})}
 
     def value(match: re.Match[str]) -> str:
         name = match.group(1)
@@ -44,9 +44,9 @@
     return re.sub(r"{{([^}]+)}}", value, text)
 
 
-def test_filled_template_is_valid(tmp_path: Path) -> None:
+def test_rendered_template_is_valid(tmp_path: Path) -> None:
     path = tmp_path / "settings.toml"
-    path.write_text(filled())
+    path.write_text(render_template())
     settings = load_mesh_settings(path)
     assert settings.node.first_start
     assert settings.retry.extra == 58
@@ -54,15 +54,15 @@
     assert settings.cold.rate_factor == 0.0
 
 
-def test_template_is_valid_where_cold_backend_servers_are_bounded(tmp_path: Path) -> None:
+def test_template_with_a_cold_limit_is_valid(tmp_path: Path) -> None:
     path = tmp_path / "settings.toml"
-    path.write_text(filled(COLD_VALUES))
+    path.write_text(render_template(COLD_VALUES))
     settings = load_mesh_settings(path)
     assert (settings.cold.rate_factor, settings.cold.extra) == (1.5, 8.0)
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "code", "named"),
+    ("old", "new", "code", "expected_text"),
     [
         ('id = "node-1"', 'id = ""', ResultCode.SETTINGS_VALUE, "node.id"),
         ('id = "node-1"', "", ResultCode.SETTINGS_INVALID, "id"),
@@ -75,18 +75,18 @@
     ],
 )
 def test_bad_settings_name_file_key_and_rule(
-    tmp_path: Path, old: str, new: str, code: ResultCode, named: str
+    tmp_path: Path, old: str, new: str, code: ResultCode, expected_text: str
 ) -> None:
     path = tmp_path / "settings.toml"
-    path.write_text(filled().replace(old, new))
+    path.write_text(render_template().replace(old, new))
     with pytest.raises(SettingsError) as caught:
         load_mesh_settings(path)
     assert caught.value.code is code
     assert str(path) in caught.value.detail
-    assert named in caught.value.detail
+    assert expected_text in caught.value.detail
 
 
-def test_pins_of_the_build_agree_with_the_lock() -> None:
+def test_pinned_requirements_match_the_lock_file() -> None:
     from tool.generate_pins import PINS
     from tool.generate_pins import pins
 
--- a/tests/settings/test_settings_file.py
+++ b/tests/settings/test_settings_file.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-GOOD = """
+VALID_SETTINGS = """
 [node]
 id = "n-1"
 data_centre = "kaolack"
@@ -29,12 +29,12 @@
 """
 
 
-def test_good_settings_are_read() -> None:
-    assert check_settings(parse_settings(GOOD)).node.id == "n-1"
+def test_valid_settings_are_accepted() -> None:
+    assert check_settings(parse_settings(VALID_SETTINGS)).node.id == "n-1"
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "code", "named"),
+    ("old", "new", "code", "expected_text"),
     [
         ('id = "n-1"', 'id = "N 1"', ResultCode.SETTINGS_VALUE, "node.id"),
         ('id = "n-1"', "", ResultCode.SETTINGS_INVALID, "id"),
@@ -49,27 +49,27 @@
     ],
 )
 def test_bad_settings_name_file_key_and_rule(
-    tmp_path: Path, old: str, new: str, code: ResultCode, named: str
+    tmp_path: Path, old: str, new: str, code: ResultCode, expected_text: str
 ) -> None:
     path = tmp_path / "node.toml"
-    path.write_text(GOOD.replace(old, new))
+    path.write_text(VALID_SETTINGS.replace(old, new))
     with pytest.raises(SettingsError) as caught:
         load_settings(path)
     assert caught.value.code is code
     assert str(path) in caught.value.detail
-    assert named in caught.value.detail
+    assert expected_text in caught.value.detail
     assert "\n" not in str(caught.value)
 
 
-def test_missing_file_is_said(tmp_path: Path) -> None:
+def test_missing_file_is_reported(tmp_path: Path) -> None:
     with pytest.raises(SettingsError) as caught:
         load_settings(tmp_path / "none.toml")
     assert caught.value.code is ResultCode.SETTINGS_UNREADABLE
 
 
 @given(st.text(max_size=80))
-def test_any_text_is_settings_or_a_numbered_error(text: str) -> None:
-    for candidate in (text, GOOD + text):
+def test_any_text_is_valid_settings_or_a_numbered_error(text: str) -> None:
+    for candidate in (text, VALID_SETTINGS + text):
         try:
             check_settings(parse_settings(candidate))
         except SettingsError as error:
