--- a/src/hoisthook/console/commands/history.py
+++ b/src/hoisthook/console/commands/history.py
@@ -17,9 +17,7 @@
     """``hoisthook history``."""
 
     name = "history"
-    description = (
-        "print the most recent configuration changes, including those that lost a revision race"
-    )
+    description = "print the most recent changes, including those that lost a revision race"
 
     def configure(self, parser: argparse.ArgumentParser) -> None:
         """Add the command's arguments."""
--- a/src/hoisthook/settings/mesh_settings.py
+++ b/src/hoisthook/settings/mesh_settings.py
@@ -181,7 +181,8 @@
 class MeshTeamSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Enforcement of the teams' quotas by all nodes together.
 
-    In any window a team gets at most its quota times one plus the share, and the extra requests.
+    In any window a team gets at most ``1 + quota_over_share`` times its quota for that window, plus
+    ``quota_extra`` requests.
 
     Attributes
     ----------
