--- a/src/hoisthook/experiment/modelled_hop.py
+++ b/src/hoisthook/experiment/modelled_hop.py
@@ -94,7 +94,7 @@
         A request that is held back until the node accepts it is refused. Any other request has
         been sent completely, so its outcome is pending.
         """
-        held_back = call.held_back or view.may_be_silent(self._clock.now())
+        held_back = call.held_back or view.may_be_unresponsive(self._clock.now())
         sent = dataclasses.replace(call)
         await asyncio.sleep(ADMISSION_SECONDS)
         view.silent(self._clock.now())
