--- a/src/hoisthook/node/local_backend.py
+++ b/src/hoisthook/node/local_backend.py
@@ -297,6 +297,6 @@
             # The backend server works on a cancelled request until it notices that the
             # connection is closed, so the request keeps its slot until then.
             connection.close()
-            connection.on_gone(lambda: self.gate.release(ticket, self._clock.now()))
+            connection.on_fully_closed(lambda: self.gate.release(ticket, self._clock.now()))
         if failed is not None:
             self.state.answered(now, failed=failed)
--- a/tests/node/test_leaving.py
+++ b/tests/node/test_leaving.py
@@ -147,7 +147,7 @@
 def no_grace(monkeypatch: pytest.MonkeyPatch) -> None:
     """Remove the other delays of a shutdown, so that only its wait for requests protects them."""
     monkeypatch.setattr(node_module, "LEAVE_MESSAGE_SECONDS", 0.0)
-    monkeypatch.setattr(call_server, "LEAVE_GRACE_SECONDS", 0.0)
+    monkeypatch.setattr(call_server, "IDLE_CLOSE_DELAY_SECONDS", 0.0)
 
 
 async def test_closed_node_is_known_to_have_left(system: System) -> None:
