--- a/tests/process/test_platform_process.py
+++ b/tests/process/test_platform_process.py
@@ -78,16 +78,16 @@
     os.mkfifo(path)
     process = await start(path)
     # Opening for writing returns once the node has opened its settings for reading.
-    writer = await asyncio.to_thread(path.open, "wb")
+    settings_writer = await asyncio.to_thread(path.open, "wb")
     process.send_signal(signal.SIGHUP)
-    writer.write(settings(store))
-    writer.close()
+    settings_writer.write(settings(store))
+    settings_writer.close()
     await line_with(process, b'"started"')
     process.kill()
     await process.wait()
 
 
-async def test_reload_of_a_running_node_is_told_and_a_bad_file_changes_nothing(
+async def test_reload_of_a_running_node_is_logged_and_a_bad_file_changes_nothing(
     store: StoreStandin, tmp_path: Path
 ) -> None:
     path = tmp_path / "settings.toml"
@@ -104,14 +104,14 @@
     assert await process.wait() == 0
 
 
-def test_what_a_start_loads_is_no_work_for_the_collector_later() -> None:
-    told = subprocess.run(
+def test_objects_loaded_at_start_are_frozen_for_the_collector() -> None:
+    output = subprocess.run(
         [sys.executable, "-c", "import gc, run_node; print(gc.isenabled(), gc.get_freeze_count())"],
         cwd=PROGRAM.parent,
         check=True,
         capture_output=True,
         text=True,
     )
-    is_enabled, frozen = told.stdout.split()
+    is_enabled, frozen = output.stdout.split()
     assert is_enabled == "True"
     assert int(frozen) > 10_000
