--- a/src/hoisthook/mesh/ingress.py
+++ b/src/hoisthook/mesh/ingress.py
@@ -225,7 +225,7 @@
             ran=dispatched.ran,
             arrived=dispatched.arrived,
             sent_to=dispatched.node,
-            parent=call.parent,
+            made_by=call.parent,
         )
 
     def _make_call(
