--- a/benchmark/crashing.py
+++ b/benchmark/crashing.py
@@ -169,10 +169,10 @@
     sys.stdout.write("| variant | seed | crashes | executed after the third | later than 3 s |")
     sys.stdout.write(" others succeeded | failed |\n|---|---|---|---|---|---|---|\n")
     for variant in VARIANTS:
-        notify = crash_notifier.CrashNotifier.tell if variant.is_reported else _notify_nobody
+        notify = crash_notifier.CrashNotifier.notify if variant.is_reported else _notify_nobody
         with (
-            mock.patch.object(crash_evidence, "ENDS_NEEDED", variant.crashes_needed),
-            mock.patch.object(crash_notifier.CrashNotifier, "tell", notify),
+            mock.patch.object(crash_evidence, "CRASHES_NEEDED", variant.crashes_needed),
+            mock.patch.object(crash_notifier.CrashNotifier, "notify", notify),
         ):
             for seed in seeds:
                 row = asyncio.run(Trial(seed).run())
--- a/src/hoisthook/adapter/meters.py
+++ b/src/hoisthook/adapter/meters.py
@@ -17,11 +17,11 @@
 LATENCY_BUCKETS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.4, 0.6, 1.0, 2.0, 4.0)
 # Help text and label of each counter.
 _COUNTERS = {
-    "events": ("Changes of belief by name.", "event"),
+    "events": ("Changes of the observed state by name.", "event"),
     "answers": ("Callers' requests by result code.", "code"),
-    "not_admitted": ("Requests not admitted beside, by result code.", "code"),
-    "extra_tries": ("Extra tries asked of the budget, by whether granted.", "granted"),
-    "lost": ("Requests sent with nothing known of their outcome, by where.", "where"),
+    "not_admitted": ("Requests that this node did not admit, by result code.", "code"),
+    "extra_tries": ("Extra tries requested from the budget, by whether granted.", "granted"),
+    "lost": ("Requests sent whose outcome is unknown, by where they were lost.", "where"),
 }
 
 
@@ -87,22 +87,22 @@
 
 
 _GAUGE_HELP_TEXTS = {
-    "ready": "Whether callers may be sent here.",
-    "running": "Requests that hold a slot of the backend server beside.",
-    "waiting": "Requests that wait for one.",
-    "limit": "How many may run there at once.",
-    "slowdown": "How many times its usual time work takes there.",
+    "ready": "Whether the node accepts requests of callers.",
+    "running": "Requests that hold a slot of the local backend server.",
+    "waiting": "Requests that wait for a slot of the local backend server.",
+    "limit": "Limit on the requests that run at the local backend server.",
+    "slowdown": "Ratio of the current to the usual execution time at the local backend server.",
     "configuration_version": "Version of the configuration in force; -1 for none.",
-    "peers": "Other nodes that are known.",
+    "peers": "Number of other known nodes.",
     "store_away": "Whether the platform's store does not answer.",
-    "backend_connections": "Connections opened to the backend server since the start.",
+    "backend_connections": "Connections opened to the local backend server since the start.",
     "evacuated_data_centres": "Data centres that operators have evacuated.",
-    "backend_cold": "Whether the backend server beside says that it is cold.",
-    "refused_work": "Works refused because several backend servers ended under them.",
-    "repeats_arrived": "Repeats that were sent to the backend server beside since the start.",
-    "repeats_requests": "Callers' requests by which more are allowed, since the start.",
-    "repeats_part": "Repeats that this node may admit in a window besides.",
-    "repeats_level": "Repeats that this node may admit now; below 0 what is owed.",
-    "stalled_seconds": "For how long the event loop has stood still since the start.",
-    "repeats_nodes": "Nodes of the service by which the fixed number is divided; 0: not known.",
+    "backend_cold": "Whether the local backend server reports a cold start.",
+    "refused_work": "Works refused because several backend servers crashed under them.",
+    "repeats_arrived": "Repeats sent to the local backend server since the start.",
+    "repeats_requests": "Callers' requests since the start, which add to the repeat budget.",
+    "repeats_part": "This node's part of the fixed number of repeats in a window.",
+    "repeats_level": "Repeats that this node may admit now; negative while it is over its budget.",
+    "stalled_seconds": "Total time for which the event loop has stalled since the start.",
+    "repeats_nodes": "Nodes that share the fixed number of repeats; 0 while it is not known.",
 }
--- a/src/hoisthook/membership/store_era.py
+++ b/src/hoisthook/membership/store_era.py
@@ -45,7 +45,7 @@
         """Have ``listener`` called when the store has regressed to an older state."""
         self._listeners.append(listener)
 
-    def heard(self, era: int | None) -> None:
+    def update(self, era: int | None) -> None:
         """Apply an era received from the store or from a peer; earlier ones are ignored."""
         if era is None or (self.current is not None and era <= self.current):
             return
--- a/src/hoisthook/mesh/configuration_watch.py
+++ b/src/hoisthook/mesh/configuration_watch.py
@@ -274,7 +274,7 @@
 
     def _check_era(self, page: RecordPage) -> None:
         """Reject a page of an older era than the one that peers have reported."""
-        self._era.heard(page.era)
+        self._era.update(page.era)
         if page.era is not None and page.era != self._era.current:
             self._offset = None
             raise StoreUnavailableError(
--- a/src/hoisthook/mesh/crash_notifier.py
+++ b/src/hoisthook/mesh/crash_notifier.py
@@ -50,7 +50,7 @@
         self._is_notifying = False
         self._has_changes = asyncio.Event()
 
-    def tell(self) -> None:
+    def notify(self) -> None:
         """Notify all nodes; a notification that is in progress starts again with all of them."""
         self._has_changes.set()
         if not self._is_notifying:
--- a/src/hoisthook/mesh/crash_protection.py
+++ b/src/hoisthook/mesh/crash_protection.py
@@ -50,7 +50,7 @@
     def notify_through(self, directory: PeerDirectory, sync: PeerSync) -> None:
         """Notify the other nodes of the service of crashes from now on."""
         self._notifier = CrashNotifier(directory, sync, self._clock)
-        self.crash_monitor.on_crash_attributed(self._notifier.tell)
+        self.crash_monitor.on_crash_attributed(self._notifier.notify)
 
     def persist_in(self, store: RecordStore, topic: str, era: StoreEra) -> CrashRecords:
         """Store records of refused work from now on; return the object that reads them back."""
--- a/src/hoisthook/mesh/peer_sync.py
+++ b/src/hoisthook/mesh/peer_sync.py
@@ -352,7 +352,7 @@
 
     async def _apply_reply(self, reply: SyncReply, address: Address, request: SyncRequest) -> None:
         self._directory.merge(reply.peers, "peer")
-        self._era.heard(reply.era)
+        self._era.update(reply.era)
         now = self._clock.now()
         self._responder.apply_suspicions(reply)
         self._crashes.merge(reply.crashes, now)
--- a/src/hoisthook/mesh/sync_responder.py
+++ b/src/hoisthook/mesh/sync_responder.py
@@ -77,7 +77,7 @@
         # Before the reply is held: the reports' ages are those at the time of the request.
         self._apply_reports(request)
         self._crashes.merge(request.crashes, self._clock.now())
-        self._era.heard(request.era)
+        self._era.update(request.era)
 
     def apply_suspicions(self, reply: SyncReply) -> None:
         """Apply the suspicions of a reply, and keep them for the nodes that poll this one."""
--- a/src/hoisthook/retry/crash_evidence.py
+++ b/src/hoisthook/retry/crash_evidence.py
@@ -23,7 +23,7 @@
 
 # Crashes of different incarnations after which work is rejected. Unrelated work that runs in the
 # same backend server shares one crash, rarely two, and a third only by chance.
-ENDS_NEEDED = 3
+CRASHES_NEEDED = 3
 # Seconds after the last crash for which evidence is kept. The work may arrive again for as long as
 # a caller repeats it; it is admitted again only after operators have had time to see the events.
 EVIDENCE_TTL_SECONDS = 600.0
@@ -98,7 +98,7 @@
     of such a request crashed four backend servers 25 times. No single node sees enough crashes to
     decide, so crash reports are sent to all nodes of the service.
 
-    Work is rejected once `ENDS_NEEDED` incarnations have crashed under it and none has completed
+    Work is rejected once `CRASHES_NEEDED` incarnations have crashed under it and none has completed
     it since the first crash. Crashes of one incarnation count once, whichever node reports them.
     Where a whole data centre loses power, the nodes that could report crashes stop as well, so
     the work that ran there is not blamed.
@@ -203,7 +203,7 @@
     def _update_rejection(self, service: ServiceName, work: WorkId, suspect: _Suspect) -> None:
         was_rejected = suspect.is_rejected
         crashed = suspect.crashed_instances
-        suspect.is_rejected = len(crashed) >= ENDS_NEEDED
+        suspect.is_rejected = len(crashed) >= CRASHES_NEEDED
         if was_rejected and not suspect.is_rejected:
             self._log.event("work_cleared", service=service, work=work)
         if suspect.is_rejected and not was_rejected:
--- a/tests/mesh/test_crash_notifier.py
+++ b/tests/mesh/test_crash_notifier.py
@@ -71,7 +71,7 @@
     monkeypatch.setattr(crash_notifier, "FIRST_PAUSE_SECONDS", 0.001)
     sync = UnresponsiveAtFirst({"10.0.0.2": 3})
     notifier = CrashNotifier(directory_of_four(), sync, LoopClock())  # type: ignore[arg-type]
-    notifier.tell()
+    notifier.notify()
     async with asyncio.timeout(10.0):
         await sync.all_notified.wait()
     assert sorted(sync.notified) == ["10.0.0.1", "10.0.0.2", "10.0.0.3"]
@@ -83,10 +83,10 @@
     monkeypatch.setattr(crash_notifier, "FIRST_PAUSE_SECONDS", 600.0)
     sync = UnresponsiveAtFirst({"10.0.0.2": 1})
     notifier = CrashNotifier(directory_of_four(), sync, LoopClock())  # type: ignore[arg-type]
-    notifier.tell()
+    notifier.notify()
     while len(sync.notified) < 2:
         await asyncio.sleep(0)
-    notifier.tell()
+    notifier.notify()
     async with asyncio.timeout(10.0):
         await sync.all_notified.wait()
     notifier.close()
--- a/tests/mesh/test_store_era.py
+++ b/tests/mesh/test_store_era.py
@@ -184,7 +184,7 @@
     system.evacuate("two")
     await until_evacuated(system, TWO)
     stale_node = system.machines[0].node
-    stale_node.era.heard(2)
+    stale_node.era.update(2)
     await until(lambda: stale_node.sync.store_away)
     assert stale_node.evacuations.data_centres == frozenset({TWO})
     system.store.era = 2
--- a/tests/retry/test_crash_evidence.py
+++ b/tests/retry/test_crash_evidence.py
@@ -9,7 +9,7 @@
 from hoisthook.identity import InstanceId
 from hoisthook.identity import ServiceName
 from hoisthook.identity import WorkId
-from hoisthook.retry.crash_evidence import ENDS_NEEDED
+from hoisthook.retry.crash_evidence import CRASHES_NEEDED
 from hoisthook.retry.crash_evidence import EVIDENCE_TTL_SECONDS
 from hoisthook.retry.crash_evidence import MAX_WORKS
 from hoisthook.retry.crash_evidence import SUCCEEDED
@@ -62,7 +62,7 @@
 
 def test_crashes_after_a_success_count() -> None:
     evidence = new_evidence(
-        [report(SUCCEEDED, 9.0), *(report(f"i-{n}", n) for n in range(ENDS_NEEDED))]
+        [report(SUCCEEDED, 9.0), *(report(f"i-{n}", n) for n in range(CRASHES_NEEDED))]
     )
     assert evidence.refused == 1
 
--- a/tests/traffic/test_evacuation_tracker.py
+++ b/tests/traffic/test_evacuation_tracker.py
@@ -76,7 +76,7 @@
     changes: list[int | None] = []
     era.on_change(lambda: changes.append(era.current))
     for heard in (None, 3, 3, 2, 4, None, 5, 4):
-        era.heard(heard)
+        era.update(heard)
     assert changes == [4, 5]
     assert era.current == 5
     assert len(log.named("store_came_back_older")) == 2
