--- a/tests/node/test_path.py
+++ b/tests/node/test_path.py
@@ -257,10 +257,10 @@
 async def test_paused_node_refuses_until_it_has_caught_up(system: System) -> None:
     guard = system.node_by_name["a"].guard
     guard.stale = True
-    guard._woke_at = float("inf")
+    guard._resumed_at = float("inf")
     got = await system.call(ingress(system), "r")
     assert (got.code, got.ran) == (2010, "not-run")
-    guard._woke_at = 0.0
+    guard._resumed_at = 0.0
     await system.until(lambda: not guard.stale)
     assert (await system.call(ingress(system), "r")).code == 0
 
@@ -268,7 +268,7 @@
 async def test_paused_node_of_a_backend_server_refuses_and_another_runs_it(system: System) -> None:
     guard = system.node_by_name["b1"].guard
     guard.stale = True
-    guard._woke_at = float("inf")
+    guard._resumed_at = float("inf")
     for number in range(6):
         got = await system.call(ingress(system), f"r{number}")
         assert got.body.split(b"|")[2] == b"b2"
@@ -293,7 +293,7 @@
     assert (await post(system, "r", key)).code == 0
     guard = system.node_by_name["c"].guard
     guard.stale = True
-    guard._woke_at = float("inf")
+    guard._resumed_at = float("inf")
     got = await post(system, "r", key, "c")
     assert (got.code, got.ran) == (2010, "unknown")
 
